--- a/src/policy/backend/slow_start.cpp
+++ b/src/policy/backend/slow_start.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Time constant of the warm backends' load.
-constexpr double kWarmLoadMemoryS = 2;
+constexpr double kWarmLoadTimeConstantS = 2;
 // Share of a warm backend's load that a cold one is sent for its fraction of capacity.
 constexpr double kWarmLoadShare = 0.8;
 // Share of the multiple at which a cold backend collapses, that all gateways together use.
@@ -19,26 +19,27 @@
 }  // namespace
 
 void WarmBackendLoad::Record(double service_time_s, int warm_backends, double now) {
-  work_s_ = work_s_ * std::exp(-(now - updated_s_) / kWarmLoadMemoryS) +
+  work_s_ = work_s_ * std::exp(-(now - updated_s_) / kWarmLoadTimeConstantS) +
             service_time_s / std::max(1, warm_backends);
   updated_s_ = now;
 }
 
 double WarmBackendLoad::PerSecond(double now) const {
-  return kWarmLoadShare * (work_s_ * std::exp(-(now - updated_s_) / kWarmLoadMemoryS)) / kWarmLoadMemoryS;
+  return kWarmLoadShare * (work_s_ * std::exp(-(now - updated_s_) / kWarmLoadTimeConstantS)) /
+         kWarmLoadTimeConstantS;
 }
 
-void SlowStart::Begin(double since_s, double now, double longest_service_time_s, RandomSource* random) {
-  since_s_ = since_s;
+void SlowStart::Begin(double started_s, double now, double longest_service_time_s, RandomSource* random) {
+  started_s_ = started_s;
   budget_updated_s_ = now;
   budget_s_ = -random->Uniform() * longest_service_time_s;
 }
 
 bool SlowStart::HasBudget(const SlowStartParameters& parameters, double now) {
   const Settings& settings = parameters.settings;
-  double warmed_share = std::max(0.0, now - since_s_) / std::max(kMinWarmUpS, settings.warm_up_s);
+  double warmed_share = std::max(0.0, now - started_s_) / std::max(kMinWarmUpS, settings.warm_up_s);
   if (warmed_share >= 1) {
-    since_s_ = 0;
+    started_s_ = 0;
     return true;
   }
   double capacity_fraction = settings.cold_capacity_share + (1 - settings.cold_capacity_share) * warmed_share;
--- a/src/policy/backend/slow_start.h
+++ b/src/policy/backend/slow_start.h
@@ -34,14 +34,14 @@
 /// divided by the gateways. This prevents collapse, and a rush to the first backend that returns.
 class SlowStart {
  public:
-  bool active() const { return since_s_ > 0; }
-  double since_s() const { return since_s_; }
+  bool active() const { return started_s_ > 0; }
+  double started_s() const { return started_s_; }
 
   /// Starts the ramp. The budget starts below zero by a random part of a request, so that many gateways whose
   /// budgets are less than one request don't all send one at once.
-  /// @param since_s when the backend started.
+  /// @param started_s when the backend started.
   /// @param longest_service_time_s the longest mean of the request classes.
-  void Begin(double since_s, double now, double longest_service_time_s, RandomSource* random);
+  void Begin(double started_s, double now, double longest_service_time_s, RandomSource* random);
   /// Accrues the budget, and ends the ramp when the backend is warm.
   /// @return whether an attempt may be sent now.
   bool HasBudget(const SlowStartParameters& parameters, double now);
@@ -49,8 +49,8 @@
   void Spend(double service_time_s) { budget_s_ -= service_time_s; }
 
  private:
-  double since_s_ = 0;   // 0: warm
-  double budget_s_ = 0;  // work that may be sent
+  double started_s_ = 0;  // 0: warm
+  double budget_s_ = 0;   // work that may be sent
   double budget_updated_s_ = 0;
 };
 
--- a/src/policy/backend_selector.cpp
+++ b/src/policy/backend_selector.cpp
@@ -56,8 +56,8 @@
     bool restarted = endpoint.started_s > 0 && endpoint.started_s != backend->endpoint.started_s;
     backend->endpoint = endpoint;
     if (restarted && now - endpoint.started_s < warm_up_s) {
-      double since_s = std::max(backend->slow_start.since_s(), endpoint.started_s);
-      backend->slow_start.Begin(since_s, now, longest_service_time_s, random);
+      double started_s = std::max(backend->slow_start.started_s(), endpoint.started_s);
+      backend->slow_start.Begin(started_s, now, longest_service_time_s, random);
       backend->outlier.EndEjection();
     }
   }
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 // Chance of being inside the quota from which a queued request's units go with the call to the counter.
-constexpr double kChargedChance = 0.5;
+constexpr double kMinInsideChanceToCharge = 0.5;
 // Longest wait until a failed poll for endpoints is repeated.
 constexpr double kMaxPollRetryS = 1.0;
 constexpr uint64_t kPollTimerTag = 1ULL << 40;
@@ -64,14 +64,14 @@
     return in_use;
   }
 
-  void OnSettings(double now, PreparedSettings&& fresh) noexcept {
+  void OnSettings(double now, PreparedSettings&& prepared) noexcept {
     quota_.RefillAll(now);
-    const std::vector<PlanSettings> old_plans = std::exchange(settings_, std::move(fresh.settings)).plans;
-    estimates_.TakeFrom(&fresh);
-    quota_.ApplySettings(old_plans, std::move(fresh.inside_quota_share), now);
+    const std::vector<PlanSettings> old_plans = std::exchange(settings_, std::move(prepared.settings)).plans;
+    estimates_.TakeFrom(&prepared);
+    quota_.ApplySettings(old_plans, std::move(prepared.inside_quota_share), now);
   }
 
-  void OnWallClock(double now, double ahead_s) { quota_.SetWallClock(now, ahead_s); }
+  void OnWallClock(double now, double offset_s) { quota_.SetWallClock(now, offset_s); }
   void OnProcessCount(double now, int processes) { quota_.SetProcessCount(now, processes); }
   int UnavailableBackends(double now) const { return selector_.CountUnavailable(now); }
 
@@ -106,7 +106,7 @@
     QuotaCheck check = quota_.Check(&customer, request, mean_service_time_s, now);
     estimates_.RecordArrival(request);
     if (quota_.ShouldWaitForCounter(customer, request, check.inside_chance, now, &random_))
-      return QueueForCounter(&customer, request, check.inside_chance >= kChargedChance, now, sink);
+      return QueueForCounter(&customer, request, check.inside_chance >= kMinInsideChanceToCharge, now, sink);
     if (check.decision == QuotaDecision::kOver) {
       double retry_after_s = quota_.RetryAfterS(customer, request, mean_service_time_s, &random_);
       return Reject(request.id, retry_after_s, check.reject_reason, sink);
@@ -318,8 +318,8 @@
         silent ? recorder_.RecordFailure(backend, false, now, sink) : recorder_.RecordMissedDeadline(now);
       return FailRequest(active, sink);
     }
-    bool overtaken = at_backend && backend->last_answered_sent_s > attempt.sent_s;
-    if (silent || overtaken) HedgeOrCancel(active, silent, backend, now, sink);
+    bool answered_later_attempt = at_backend && backend->last_answered_sent_s > attempt.sent_s;
+    if (silent || answered_later_attempt) HedgeOrCancel(active, silent, backend, now, sink);
     ArmRequestTimer(*active, now, sink);
   }
 
@@ -418,10 +418,10 @@
 PreparedSettings Balancer::PrepareSettings(const Settings& settings, const SettingsIndices& renewed) const {
   return impl_->PrepareSettings(settings, renewed);
 }
-void Balancer::OnSettings(double now, PreparedSettings&& fresh, Actions*) noexcept {
-  impl_->OnSettings(now, std::move(fresh));
+void Balancer::OnSettings(double now, PreparedSettings&& prepared, Actions*) noexcept {
+  impl_->OnSettings(now, std::move(prepared));
 }
-void Balancer::OnWallClock(double now, double ahead_s) { impl_->OnWallClock(now, ahead_s); }
+void Balancer::OnWallClock(double now, double offset_s) { impl_->OnWallClock(now, offset_s); }
 void Balancer::OnProcessCount(double now, int processes, Actions*) { impl_->OnProcessCount(now, processes); }
 int Balancer::UnavailableBackends(double now) const { return impl_->UnavailableBackends(now); }
 void Balancer::OnCounterResponse(double now, const CounterResponse& response, Actions* out) {
--- a/src/policy/balancer.h
+++ b/src/policy/balancer.h
@@ -48,10 +48,10 @@
   /// @param renewed indices that are used again for another class or plan: their estimates are discarded.
   PreparedSettings PrepareSettings(const Settings& settings, const SettingsIndices& renewed) const;
   /// New settings apply from now on.
-  void OnSettings(double now, PreparedSettings&& fresh, Actions* out) noexcept;
+  void OnSettings(double now, PreparedSettings&& prepared, Actions* out) noexcept;
 
-  /// The clock that all gateways share, by which counters are named, is `ahead_s` ahead of `now`.
-  void OnWallClock(double now, double ahead_s);
+  /// The clock that all gateways share, by which counters are named, is `offset_s` ahead of `now`.
+  void OnWallClock(double now, double offset_s);
   /// How many processes of this gateway are alive. They count as one gateway, so each has its part of a
   /// quota.
   void OnProcessCount(double now, int processes, Actions* out);
--- a/src/policy/load_shedder.cpp
+++ b/src/policy/load_shedder.cpp
@@ -13,7 +13,7 @@
 // Least relative step of the admission ratio for a response that is off by the queue threshold.
 constexpr double kMinStep = 0.02;
 // Where responses are rare: the time in which a steady deviation of 1 divides the ratio by e.
-constexpr double kStepMemoryS = 0.8;
+constexpr double kStepTimeConstantS = 0.8;
 // Longest time between two responses that counts.
 constexpr double kMaxStepTimeS = 1.0;
 // Bounds of one response's deviation from the threshold.
@@ -49,7 +49,7 @@
 
 void LoadShedder::AdjustAdmissionRatio(double objective_ratio, double now) {
   double since_update_s = std::min(kMaxStepTimeS, now - updated_s_);
-  double step = std::max(kMinStep, since_update_s / kStepMemoryS);
+  double step = std::max(kMinStep, since_update_s / kStepTimeConstantS);
   double deviation = std::clamp(objective_ratio / kQueueThreshold - 1, kMinDeviation, kMaxDeviation);
   admission_ratio_ *= std::exp(-step * deviation);
   admission_ratio_ = std::clamp(admission_ratio_ + kRecoveryPerS * since_update_s, kMinAdmissionRatio, 1.0);
--- a/src/policy/quota/concurrency_cap.cpp
+++ b/src/policy/quota/concurrency_cap.cpp
@@ -10,9 +10,9 @@
 // Share of the attempts last read that are in flight still, above which too few have ended for an estimate.
 constexpr double kFreshShare = 0.9;
 // Time constant for which a customer's number of attempts stays like the one last read.
-constexpr double kMemoryS = 1;
+constexpr double kReadTimeConstantS = 1;
 // Time constant of the mean.
-constexpr double kMeanMemoryS = 1.0;
+constexpr double kMeanTimeConstantS = 1.0;
 
 }  // namespace
 
@@ -35,7 +35,7 @@
   if (response.result == AttemptResult::kOk || response.result == AttemptResult::kTimeout)
     reported_attempts += delta;
   if (response.result != AttemptResult::kOk) return;
-  double weight = remote_read_s < 0 ? 1 : 1 - std::exp(-(now - remote_read_s) / kMeanMemoryS);
+  double weight = remote_read_s < 0 ? 1 : 1 - std::exp(-(now - remote_read_s) / kMeanTimeConstantS);
   remote_attempts = std::max(0.0, response.total - reported_attempts);
   mean_remote_attempts += weight * (remote_attempts - mean_remote_attempts);
   remote_read_s = now;
@@ -53,7 +53,7 @@
 }
 
 double ConcurrencyCap::Confidence(double now) const {
-  return remote_read_s < 0 ? 0 : std::exp(-(now - remote_read_s) / kMemoryS);
+  return remote_read_s < 0 ? 0 : std::exp(-(now - remote_read_s) / kReadTimeConstantS);
 }
 
 }  // namespace lemonchute::policy
--- a/src/policy/quota/counter_sync.cpp
+++ b/src/policy/quota/counter_sync.cpp
@@ -21,7 +21,7 @@
 constexpr double kExpiryWindows = 3;
 constexpr double kLastWindowExpiryWindows = 2;
 // Units below which a total is taken as zero.
-constexpr double kNoUnits = 1e-3;
+constexpr double kZeroUnitsTolerance = 1e-3;
 constexpr double kLossLogIntervalS = 5;
 
 }  // namespace
@@ -56,7 +56,7 @@
   ConcurrencyCap& cap = customer->cap;
   if (!settings_.counter_enabled || PlanOf(*customer).max_in_flight <= 0) return;
   if (EntryPoints(*customer) < 2 || cap.call_pending) return;
-  cap.BeginEpoch(ConcurrencyCap::EpochAt(now + wall_ahead_s_));
+  cap.BeginEpoch(ConcurrencyCap::EpochAt(now + wall_clock_offset_s_));
   double delta = cap.local_attempts - cap.reported_attempts;
   if (delta == 0 && customer->queued.empty()) return;
   if (now >= counter_.next_call_s()) {
@@ -127,9 +127,10 @@
   // The first report in a window carries the bucket's state over for all gateways, most of which see the
   // customer too seldom to know it; a gateway that does not know it reads the window before. Where both fail,
   // a full bucket is assumed.
-  bool first_of_window = remote_units < kNoUnits && total > 0 && total - call.delta < kNoUnits;
+  bool first_of_window =
+      remote_units < kZeroUnitsTolerance && total > 0 && total - call.delta < kZeroUnitsTolerance;
   if (first_of_window && bucket.synchronized) bucket.unreported_units += bucket.carried_units;
-  double read_cost = kCallsPerQuestion * settings_.counter_call_price + counter_.congestion();
+  double read_cost = kCallsPerQuery * settings_.counter_call_price + counter_.congestion();
   if (first_of_window && !bucket.synchronized &&
       (1 - customer->inside_quota_share) * OverageLoss(plan) > read_cost) {
     CounterCall read{call.customer_id, bucket.window - 1, 0, false, now};
--- a/src/policy/quota/excess_share.cpp
+++ b/src/policy/quota/excess_share.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 namespace lemonchute::policy {
-void ExcessShareTerm::RecordDemand(ExcessShare* share, double units, double tokens, double burst_units,
+void ExcessAllocator::RecordDemand(ExcessShare* share, double units, double tokens, double burst_units,
                                    double now) {
   int64_t tick = Advance(now);
   if (share->demand_tick != tick) {
@@ -23,7 +23,7 @@
   ticks_[tick % kTicks].demand_units += units;
 }
 
-bool ExcessShareTerm::IsOverloaded(double now) {
+bool ExcessAllocator::IsOverloaded(double now) {
   int64_t tick = Advance(now);
   return ticks_[tick % kTicks].overloaded || ticks_[(tick + kTicks - 1) % kTicks].overloaded;
 }
--- a/src/policy/quota/excess_share.h
+++ b/src/policy/quota/excess_share.h
@@ -18,7 +18,7 @@
 
 /// The paper's share term, by ticks of the clock: u_i = V_i / sum V * (W - mu_i), where W is what the
 /// backends served in the tick and mu_i the customer's tokens. A tick with overload grants nothing.
-class ExcessShareTerm {
+class ExcessAllocator {
  public:
   /// Grants the customer its share of the last tick in which it asked, and records its demand in this one.
   void RecordDemand(ExcessShare* share, double units, double tokens, double burst_units, double now);
@@ -42,12 +42,13 @@
   // Clears the ticks that have begun since the last call.
   int64_t Advance(double now) {
     int64_t tick = static_cast<int64_t>(std::floor(now / kTickS));
-    for (int64_t t = std::max(tick_ + 1, tick - kTicks + 1); t <= tick; ++t) ticks_[t % kTicks] = Tick();
-    return tick_ = tick;
+    for (int64_t t = std::max(current_tick_ + 1, tick - kTicks + 1); t <= tick; ++t)
+      ticks_[t % kTicks] = Tick();
+    return current_tick_ = tick;
   }
 
   std::array<Tick, kTicks> ticks_;
-  int64_t tick_ = 0;
+  int64_t current_tick_ = 0;
 };
 
 }  // namespace lemonchute::policy
--- a/src/policy/quota/quota_manager.cpp
+++ b/src/policy/quota/quota_manager.cpp
@@ -56,9 +56,9 @@
   }
 }
 
-void QuotaManager::SetWallClock(double now, double ahead_s) {
+void QuotaManager::SetWallClock(double now, double offset_s) {
   RefillAll(now);
-  wall_ahead_s_ = ahead_s;
+  wall_clock_offset_s_ = offset_s;
   for (auto& [id, customer] : customers_) customer.bucket.Rebase(TermsOf(customer), now);
 }
 
@@ -208,10 +208,10 @@
   if (bucket.synchronized)
     confidence =
         single_entry || IsCounterUnavailable() ? 1 : std::exp(-since_read_s / WindowS(PlanOf(customer)));
-  double spread =
+  double std_deviation =
       std::sqrt(kBaseVariance + kVarianceShare * settings_.max_request_units *
                                     (single_entry ? 0 : bucket.remote_units_per_s) * since_read_s);
-  double deviations = (bucket.tokens - units) / spread;
+  double deviations = (bucket.tokens - units) / std_deviation;
   return confidence / (1 + std::exp(-kLogisticScale * deviations)) + (1 - confidence) * prior_chance;
 }
 
@@ -284,7 +284,7 @@
   if (request.time_left_s < kMinTimeLeftTimeouts * settings_.counter_timeout_s) return false;
   double gain =
       std::min(inside_chance, (1 - inside_chance) * OverageLoss(plan)) * (kMinJitter + random->Uniform());
-  if (gain < kCallsPerQuestion * settings_.counter_call_price + counter_.congestion()) return false;
+  if (gain < kCallsPerQuery * settings_.counter_call_price + counter_.congestion()) return false;
   return now >= counter_.next_call_s() || customer.IsCallPending();
 }
 
--- a/src/policy/quota/quota_manager.h
+++ b/src/policy/quota/quota_manager.h
@@ -50,7 +50,7 @@
   void ApplySettings(const std::vector<PlanSettings>& old_plans, std::vector<double> inside_quota_share,
                      double now);
   /// Windows have other names from now on.
-  void SetWallClock(double now, double ahead_s);
+  void SetWallClock(double now, double offset_s);
   void SetProcessCount(double now, int processes);
   int process_count() const { return process_count_; }
   void AddIndicesInUse(SettingsIndices* in_use) const;
@@ -108,7 +108,7 @@
 
  private:
   // Calls to the counter that a question costs: one that asks and adds, at times one that corrects it.
-  static constexpr double kCallsPerQuestion = 1.5;
+  static constexpr double kCallsPerQuery = 1.5;
 
   const PlanSettings& PlanOf(const CustomerQuota& customer) const {
     return settings_.plans[customer.plan_index];
@@ -117,7 +117,7 @@
   double EntryPoints(const CustomerQuota& customer) const { return customer.entry_gateways * process_count_; }
   bool IsCounterUnavailable() const { return counter_.IsUnavailable(settings_); }
   BucketTerms TermsOf(const CustomerQuota& customer) const {
-    return {PlanOf(customer), EntryPoints(customer), wall_ahead_s_, IsCounterUnavailable()};
+    return {PlanOf(customer), EntryPoints(customer), wall_clock_offset_s_, IsCounterUnavailable()};
   }
   void Refill(CustomerQuota* customer, double now) { customer->bucket.Refill(TermsOf(*customer), now); }
   double IdleTimeoutS(const PlanSettings& plan) const;
@@ -133,12 +133,12 @@
 
   const Settings& settings_;
   const double started_s_;
-  double wall_ahead_s_ = 0;
+  double wall_clock_offset_s_ = 0;
   int process_count_ = 1;  // of this gateway
   std::unordered_map<uint64_t, CustomerQuota> customers_;
   std::vector<double> inside_quota_share_;  // by plan, of the queued requests
   CounterChannel counter_;
-  ExcessShareTerm excess_;
+  ExcessAllocator excess_;
   std::vector<uint64_t> unreported_customers_;  // whose attempts are to be reported, each once
   double loss_logged_s_ = -1e9;
   double expired_s_ = 0;
--- a/src/policy/quota/token_bucket.cpp
+++ b/src/policy/quota/token_bucket.cpp
@@ -11,7 +11,7 @@
 // Share of an even part that traffic finds which moves to this gateway while the counter is unavailable.
 constexpr double kMinEvenPartShare = 0.5;
 // Time constant of the rates, in windows.
-constexpr double kRateMemoryWindows = 0.5;
+constexpr double kRateTimeConstantWindows = 0.5;
 // Least time between two reads that a rate is taken over.
 constexpr double kMinRateSpanS = 1e-3;
 
@@ -81,13 +81,13 @@
                                    double since_read_s, double now) {
   const PlanSettings& plan = terms.plan;
   double window_s = WindowS(plan);
-  double into_window_s = now + terms.wall_ahead_s - static_cast<double>(window) * window_s;
+  double into_window_s = now + terms.wall_clock_offset_s - static_cast<double>(window) * window_s;
   remote_units = std::max(0.0, remote_units) - std::min(carried_units, std::max(0.0, remote_units));
   carried_units = 0;
   window_used_units += remote_units;
-  double weight = synchronized ? 1 - std::exp(-since_read_s / (kRateMemoryWindows * window_s)) : 1;
+  double weight = synchronized ? 1 - std::exp(-since_read_s / (kRateTimeConstantWindows * window_s)) : 1;
   double span_s = synchronized ? std::max(since_read_s, kMinRateSpanS)
-                               : std::max(into_window_s, kRateMemoryWindows * window_s);
+                               : std::max(into_window_s, kRateTimeConstantWindows * window_s);
   remote_units_per_s +=
       weight * (std::min(2 * plan.rate_units_per_s, remote_units / span_s) - remote_units_per_s);
   remote_units_per_s = std::min(remote_units_per_s, plan.rate_units_per_s);
@@ -106,7 +106,7 @@
 }
 
 int64_t TokenBucket::WindowAt(const BucketTerms& terms, double now) {
-  return static_cast<int64_t>(std::floor((now + terms.wall_ahead_s) / WindowS(terms.plan)));
+  return static_cast<int64_t>(std::floor((now + terms.wall_clock_offset_s) / WindowS(terms.plan)));
 }
 
 }  // namespace lemonchute::policy
--- a/src/policy/quota/token_bucket.h
+++ b/src/policy/quota/token_bucket.h
@@ -11,8 +11,8 @@
 /// What a bucket's figures depend on.
 struct BucketTerms {
   const PlanSettings& plan;
-  double entry_points = 1;  ///< Gateway processes that the customer may arrive through.
-  double wall_ahead_s = 0;  ///< The gateways' shared clock less the module's clock.
+  double entry_points = 1;         ///< Gateway processes that the customer may arrive through.
+  double wall_clock_offset_s = 0;  ///< The gateways' shared clock less the module's clock.
   bool counter_unavailable = false;
 };
 
