--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -1,4 +1,4 @@
-// The smallest embedding: one gateway, one plan, one request from arrival to response.
+// Minimal use of the decision module: one gateway, one plan, one request from arrival to response.
 #include <cstdio>
 
 #include "policy/balancer.h"
--- a/src/policy/backend/backend.h
+++ b/src/policy/backend/backend.h
@@ -1,4 +1,4 @@
-/// Everything that is known of one backend.
+/// The state of one backend.
 #ifndef LEMONCHUTE_POLICY_BACKEND_BACKEND_H_
 #define LEMONCHUTE_POLICY_BACKEND_BACKEND_H_
 
@@ -15,8 +15,8 @@
   Endpoint endpoint;
   bool offline = false;             ///< Taken out of service by an operator.
   int in_flight = 0;                ///< Attempts of this gateway.
-  double last_response_s = 0;       ///< Sign of life; at first, when it was listed.
-  double last_answered_sent_s = 0;  ///< When the latest attempt that has been answered was sent.
+  double last_response_s = 0;       ///< Initially the time at which it was listed.
+  double last_answered_sent_s = 0;  ///< When the most recently sent attempt with a response was sent.
   LatencyEstimate latency;
   ConcurrencyLimit limit;
   OutlierDetector outlier;
--- a/src/policy/backend/concurrency_limit.h
+++ b/src/policy/backend/concurrency_limit.h
@@ -1,12 +1,12 @@
-/// How many attempts one gateway may have in flight at one backend.
+/// Limits the attempts that one gateway may have in flight at one backend.
 #ifndef LEMONCHUTE_POLICY_BACKEND_CONCURRENCY_LIMIT_H_
 #define LEMONCHUTE_POLICY_BACKEND_CONCURRENCY_LIMIT_H_
 
 namespace lemonchute::policy {
 
-/// Mean of latency over latency objective that is the sign of a queue. Holding the mean well inside the
-/// objective keeps queues short whatever made them: overload, a slow backend, or many gateways that chose the
-/// same one. It may reject too much where service alone takes a third of the objective.
+/// Mean of latency over latency objective above which a queue is assumed. Keeping the mean well within the
+/// objective keeps queues short whatever causes them: overload, a slow backend, or many gateways that
+/// selected the same one. It may reject too much if service alone takes a third of the objective.
 inline constexpr double kQueueThreshold = 0.27;
 
 /// Additive increase, multiplicative decrease.
--- a/src/policy/backend/latency_estimate.cpp
+++ b/src/policy/backend/latency_estimate.cpp
@@ -8,9 +8,10 @@
 
 // Least weight of one response in the objective ratio; more where responses are rare.
 constexpr double kMinObjectiveRatioWeight = 0.15;
-// Time constant after which the objective ratio is outdated.
+// Time constant of the objective ratio.
 constexpr double kObjectiveRatioTimeConstantS = 0.7;
-// Weight of one response in the relative latency: the time since the last one over the memory, within bounds.
+// Weight of one response in the relative latency: the time since the last one over the time constant, within
+// bounds.
 constexpr double kMinRelativeLatencyWeight = 0.05;
 constexpr double kMaxRelativeLatencyWeight = 0.15;
 constexpr double kRelativeLatencyTimeConstantS = 20;
@@ -31,7 +32,7 @@
   relative_latency_ +=
       relative_weight * (std::min(relative_latency, kMaxRelativeLatencySample) - relative_latency_);
 
-  // The request's own size is no sign of a queue.
+  // Latency due to the size of the request does not indicate a queue.
   double size_adjusted_s = latency_s - sample.mean_service_time_s * (sample.relative_size - 1);
   double objective_ratio = size_adjusted_s / latency_objective_s;
   double ratio_weight =
--- a/src/policy/backend/latency_estimate.h
+++ b/src/policy/backend/latency_estimate.h
@@ -11,13 +11,13 @@
  public:
   /// Mean of latency over the fleet's mean for such requests; changes slowly.
   double relative_latency() const { return relative_latency_; }
-  /// Mean of latency over latency objective, adjusted for the requests' sizes: the sign of a queue.
+  /// Mean of latency over latency objective, adjusted for the requests' sizes: a high one indicates a queue.
   double objective_ratio() const { return objective_ratio_; }
 
   /// Records a response.
   /// @return its latency over the latency objective, adjusted for its size.
   double Record(double latency_s, double latency_objective_s, const ServiceTimeSample& sample, double now);
-  /// Forgets the past, as after a restart.
+  /// Discards the history, as after a restart.
   void Reset();
 
  private:
--- a/src/policy/backend/outlier_detector.cpp
+++ b/src/policy/backend/outlier_detector.cpp
@@ -7,9 +7,9 @@
 
 // Weight of a success in the share of failures; a failure has twice the weight.
 constexpr double kSuccessWeight = 0.1;
-// Share of failures that ejects: three failures in a row.
+// Share of failures above which a backend is ejected: three failures in a row exceed it.
 constexpr double kEjectionThreshold = 0.48;
-// Share of failures below which the next ejection is a short one again.
+// Share of failures below which the next ejection starts from the minimum again.
 constexpr double kRecoveredShare = 0.1;
 constexpr double kMinEjectionS = 0.5;
 constexpr double kMaxEjectionS = 4.0;
--- a/src/policy/backend/outlier_detector.h
+++ b/src/policy/backend/outlier_detector.h
@@ -4,8 +4,8 @@
 
 namespace lemonchute::policy {
 
-/// A circuit breaker by the share of failures: closed, ejected for a time that doubles, then half open with
-/// one attempt at a time until one succeeds.
+/// A circuit breaker on the share of failed attempts: closed, ejected for a time that doubles, then half open
+/// with one attempt at a time until one succeeds.
 class OutlierDetector {
  public:
   double failure_share() const { return failure_share_; }
--- a/src/policy/backend/slow_start.cpp
+++ b/src/policy/backend/slow_start.cpp
@@ -8,11 +8,11 @@
 
 // Time constant of the warm backends' load.
 constexpr double kWarmLoadTimeConstantS = 2;
-// Share of a warm backend's load that a cold one is sent for its fraction of capacity.
+// Share of a warm backend's load that a cold one's budget is a fraction of.
 constexpr double kWarmLoadShare = 0.8;
-// Share of the multiple at which a cold backend collapses, that all gateways together use.
+// Share of the load at which a cold backend collapses that all gateways together may send.
 constexpr double kOverloadShare = 0.4;
-// Seconds of budget that may be saved.
+// Seconds of budget that may accumulate.
 constexpr double kMaxSavedBudgetS = 0.3;
 constexpr double kMinWarmUpS = 1e-3;
 
--- a/src/policy/backend/slow_start.h
+++ b/src/policy/backend/slow_start.h
@@ -7,7 +7,7 @@
 
 namespace lemonchute::policy {
 
-/// Work that one warm backend does for this gateway, fading over seconds.
+/// Work that one warm backend does for this gateway, decaying exponentially over seconds.
 class WarmBackendLoad {
  public:
   /// @param service_time_s of a request that a warm backend has served.
@@ -21,31 +21,32 @@
   double updated_s_ = 0;
 };
 
-/// What the budget of all backends in slow start depends on.
+/// Inputs to the budgets of all backends in slow start.
 struct SlowStartParameters {
   const Settings& settings;
   int process_count = 1;  ///< Of this gateway.
   const WarmBackendLoad& warm_load;
 };
 
-/// One backend's ramp. A cold backend collapses under a load that a warm one serves, so its budget of work is
-/// its fraction of what this gateway sends a warm one now: all gateways together send no more than that
-/// fraction of what the warm ones take. Where they are little used, it is as if the backend had one core,
-/// divided by the gateways. This prevents collapse, and a rush to the first backend that returns.
+/// Slow start of one backend. A cold backend collapses under a load that a warm one serves, so its budget of
+/// work is its fraction of capacity times what this gateway currently sends a warm one: all gateways together
+/// send it no more than that fraction of a warm one's load. If the warm ones are little used, the budget is
+/// that of a backend with one core, divided by the number of gateways. This prevents a collapse, and a surge
+/// to the first backend that returns.
 class SlowStart {
  public:
   bool active() const { return started_s_ > 0; }
   double started_s() const { return started_s_; }
 
-  /// Starts the ramp. The budget starts below zero by a random part of a request, so that many gateways whose
-  /// budgets are less than one request don't all send one at once.
+  /// Starts the ramp. The budget starts below zero by a random part of a request's service time, so that many
+  /// gateways whose budgets are less than one request don't all send one at once.
   /// @param started_s when the backend started.
-  /// @param longest_service_time_s the longest mean of the request classes.
+  /// @param longest_service_time_s longest mean service time of a request class.
   void Begin(double started_s, double now, double longest_service_time_s, RandomSource* random);
   /// Accrues the budget, and ends the ramp when the backend is warm.
   /// @return whether an attempt may be sent now.
   bool HasBudget(const SlowStartParameters& parameters, double now);
-  /// An attempt is sent.
+  /// Charges an attempt that is sent.
   void Spend(double service_time_s) { budget_s_ -= service_time_s; }
 
  private:
--- a/src/policy/backend_selector.cpp
+++ b/src/policy/backend_selector.cpp
@@ -7,9 +7,9 @@
 namespace lemonchute::policy {
 namespace {
 
-// Share of the ready backends that may be ejected; beyond it the fault is likely elsewhere.
+// Largest share of the ready backends that may be ejected; if more fail, the fault is likely elsewhere.
 constexpr double kMaxEjectedShare = 0.25;
-// Factors of an attempt's cost.
+// Factors of the cost by which backends are compared.
 constexpr double kFailureCostWeight = 10;
 constexpr double kMinJitter = 0.95;
 constexpr double kJitterRange = 0.1;
@@ -74,7 +74,7 @@
   if (!changed || backend == nullptr) return;
   backend->offline = offline;
   if (offline) return;
-  // It was restarted meanwhile, so what was known of it is void.
+  // It is assumed to have been restarted meanwhile, so its history no longer applies.
   backend->outlier.Reset();
   backend->latency.Reset();
   backend->limit.Reset();
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -20,15 +20,16 @@
 namespace lemonchute::policy {
 namespace {
 
-// Chance of being inside the quota from which a queued request's units go with the call to the counter.
+// Least chance of being inside the quota at which a queued request's units are added by the call to the
+// counter.
 constexpr double kMinInsideChanceToCharge = 0.5;
-// Longest wait until a failed poll for endpoints is repeated.
+// Longest delay before a failed poll for endpoints is repeated.
 constexpr double kMaxPollRetryS = 1.0;
 constexpr uint64_t kPollTimerTag = 1ULL << 40;
 
 }  // namespace
 
-// Joins the parts: quotas first, then load shedding, then the backend.
+// Applies quotas first, then load shedding, then the choice of a backend.
 class Balancer::Impl {
  public:
   Impl(const Settings& settings, uint64_t seed, double now, ActionSink* sink)
@@ -172,7 +173,7 @@
       --backend->in_flight;
       backend->last_response_s = now;
     }
-    // Hedged attempts are of no use any more.
+    // The other hedged attempts are no longer needed.
     for (size_t i = 0; i < active.attempts.size(); ++i) {
       if (active.attempts[i].in_flight && static_cast<int>(i) != attempt_index && active.cancellation_allowed)
         sink->CancelAttempt(active.request.id, i);
@@ -225,8 +226,8 @@
     return selector_.Select(active, settings_, quota_.process_count(), now, &random_);
   }
 
-  // The request waits for the counter's response.
-  // @param charged its units go with the call.
+  // Queues the request until the counter responds.
+  // @param charged its units are added by the call.
   void QueueForCounter(CustomerQuota* customer, const Request& request, bool charged, double now,
                        ActionSink* sink) {
     if (ShouldShedLoad(request, false)) return Reject(request.id, 0, RejectReason::kLoadShed, sink);
@@ -236,7 +237,7 @@
     if (!customer->IsCallPending()) ResolveQueuedRequests(request.customer_id, customer, false, now, sink);
   }
 
-  // Decides the queued requests by what is known now.
+  // Decides the queued requests on the current state of the quota.
   // @param counter_read the counter has responded.
   void ResolveQueuedRequests(uint64_t customer_id, CustomerQuota* customer, bool counter_read, double now,
                              ActionSink* sink) {
@@ -292,7 +293,7 @@
         IdempotencyWindowEndS(*active, class_settings, settings_.timer_resolution_s) - now;
   }
 
-  // Until the next check for silence, or shortly before the client's deadline.
+  // Starts the timer for the next check for silence, or for shortly before the client's deadline.
   void ArmRequestTimer(const InFlightRequest& active, double now, ActionSink* sink) {
     const Backend* backend =
         active.attempts.empty() ? nullptr : selector_.Find(active.attempts.back().backend_id);
@@ -303,17 +304,17 @@
     sink->StartTimer(std::max(0.0, std::min(deadline_in_s, check_s)), active.request.id);
   }
 
-  // A check for silence, or the client's deadline is near.
+  // The request's timer has expired: a check for silence is due, or the client's deadline is near.
   void OnRequestTimer(InFlightRequest* active, double now, ActionSink* sink) {
-    // A backend that has not responded to anything since the attempt was sent hangs, where a busy one would
-    // respond to others. Where it has responded to what was sent later, the attempt's own connection may be
-    // dead.
+    // A backend that has not responded to anything since the attempt was sent is taken to hang; a busy one
+    // would respond to other requests. If it has responded to a later attempt, this attempt's own connection
+    // may be dead.
     const Attempt attempt = active->attempts.empty() ? Attempt{} : active->attempts.back();
     Backend* backend = selector_.Find(attempt.backend_id);
     bool at_backend = attempt.in_flight && backend != nullptr;
     bool silent = at_backend && backend->last_response_s <= attempt.sent_s;
     if (now >= active->deadline_s - 3 * settings_.timer_resolution_s) {
-      // Without cancellation the attempt's own outcome follows, and says the same.
+      // Without cancellation the attempt's own outcome follows and is recorded instead.
       if (active->cancellation_allowed || active->attempts_in_flight == 0)
         silent ? recorder_.RecordFailure(backend, false, now, sink) : recorder_.RecordMissedDeadline(now);
       return FailRequest(active, sink);
@@ -323,7 +324,7 @@
     ArmRequestTimer(*active, now, sink);
   }
 
-  // The only attempt in flight may not end: a second one is sent beside it, or in place of it.
+  // The only attempt in flight may never end: sends a hedged one, or cancels it so that a retry replaces it.
   void HedgeOrCancel(InFlightRequest* active, bool silent, Backend* backend, double now, ActionSink* sink) {
     if (active->attempts_in_flight != 1 || !retry_budget_.HasRetry()) return;
     if (ClassOf(*active).idempotency != Idempotency::kIdempotent) return;
@@ -348,7 +349,7 @@
     return true;
   }
 
-  // No attempt is left: the client gets a rejection where it may send the request again, otherwise a failure.
+  // No attempt is left: the client gets a rejection if it may send the request again, otherwise a failure.
   void FailRequest(InFlightRequest* active, ActionSink* sink) {
     ActionKind kind = IsRejectSafe(*active, ClassOf(*active)) ? ActionKind::kReject : ActionKind::kFail;
     sink->Append(kind, active->request.id).reason = RejectReason::kAttemptsExhausted;
@@ -376,7 +377,7 @@
   QuotaManager quota_;  // refers to settings_
   BackendSelector selector_;
   LoadShedder shedder_;
-  OutcomeRecorder recorder_;  // refers to the parts above
+  OutcomeRecorder recorder_;  // refers to the components above
   RetryBudget retry_budget_;
   std::unordered_map<uint32_t, InFlightRequest> in_flight_requests_;
 };
--- a/src/policy/in_flight_request.h
+++ b/src/policy/in_flight_request.h
@@ -14,7 +14,7 @@
   uint32_t backend_id = 0;
   double sent_s = 0;
   bool in_flight = false;
-  /// When the first byte of its stream arrived: its backend's work is done by then. 0: not yet.
+  /// When the first byte of a streamed response arrived; its backend's work is done by then. 0: not yet.
   double response_started_s = 0;
 };
 
@@ -24,11 +24,11 @@
   double deadline_s = 0;
   std::vector<Attempt> attempts;  ///< In the order of sending.
   int attempts_in_flight = 0;
-  int max_attempts = 0;  ///< Of the settings at its arrival, as the two below.
+  int max_attempts = 0;  ///< By the settings at its arrival, as the next two.
   bool hedging_allowed = false;
   bool cancellation_allowed = false;
-  bool body_discarded = false;  ///< It can't be sent again.
-  bool finished = false;        ///< Responded to, or its client has gone.
+  bool body_discarded = false;  ///< The request can't be sent again.
+  bool finished = false;        ///< Has its response, or its client has gone.
   bool response_started = false;
   bool inside_quota = false;
   bool may_have_run = false;  ///< An attempt has ended without proof that the backend did not run it.
--- a/src/policy/load_shedder.cpp
+++ b/src/policy/load_shedder.cpp
@@ -6,22 +6,22 @@
 namespace lemonchute::policy {
 namespace {
 
-// Share of the capacity that a class of next to no value for its work may use.
+// Share of the capacity that a class with almost no value per second of service time may use.
 constexpr double kMinCapacityShare = 0.3;
-// Share of its capacity that a request beyond the quota may use.
+// Part of its share of the capacity that a request beyond the quota may use.
 constexpr double kExcessCapacityShare = 0.5;
-// Least relative step of the admission ratio for a response that is off by the queue threshold.
+// Least relative step of the admission ratio for a response with a deviation of 1.
 constexpr double kMinStep = 0.02;
-// Where responses are rare: the time in which a steady deviation of 1 divides the ratio by e.
+// If responses are rare: the time in which a constant deviation of 1 divides the ratio by e.
 constexpr double kStepTimeConstantS = 0.8;
-// Longest time between two responses that counts.
+// Upper bound on the time between two responses in one adjustment.
 constexpr double kMaxStepTimeS = 1.0;
-// Bounds of one response's deviation from the threshold.
+// Bounds of one response's relative deviation from the queue threshold.
 constexpr double kMinDeviation = -1.0;
 constexpr double kMaxDeviation = 2.0;
 // Recovery of the ratio without responses.
 constexpr double kRecoveryPerS = 0.05;
-// Admitted at least, so that responses go on reporting the backends' state.
+// Least share that is admitted, so that responses keep reporting the state of the backends.
 constexpr double kMinAdmissionRatio = 0.05;
 
 // The request's value for its work over the highest of all classes: 0 to 1. Nothing is left for a client's
@@ -61,7 +61,8 @@
                              RandomSource* random) const {
   double share = ValueShare(request, settings, estimates);
   double capacity_share = kMinCapacityShare + (1 - kMinCapacityShare) * share;
-  // Gateways that seldom have an attempt in flight at a backend go by the responses of all backends together.
+  // With few attempts in flight per backend the limits seldom bind, so the ratio follows the responses of all
+  // backends together.
   double admission_ratio = std::pow(admission_ratio_, (beyond_quota ? 2 : 1) / capacity_share);
   if (random->Uniform() > std::max(kMinAdmissionRatio, admission_ratio)) return true;
   return load.in_flight >= load.limit * capacity_share * (beyond_quota ? kExcessCapacityShare : 1);
--- a/src/policy/load_shedder.h
+++ b/src/policy/load_shedder.h
@@ -9,14 +9,14 @@
 
 namespace lemonchute::policy {
 
-/// Reserves the last of the capacity for the requests of the highest value for their work. Sheds a
-/// request when attempts in flight reach the share of the limits that its value earns, or at random while
-/// latencies are beyond kQueueThreshold of their objective. A class whose service time is overestimated is
+/// Reserves the last part of the capacity for the requests with the highest value per second of service time.
+/// Sheds a request when attempts in flight reach the share of the limits that its value allows, or at random
+/// while latencies exceed kQueueThreshold of their objective. A class whose service time is overestimated is
 /// shed too early.
 class LoadShedder {
  public:
-  /// Responses of all backends adjust the admission ratio, an integral controller: it is as steady at few
-  /// responses a second as at many.
+  /// Adjusts the admission ratio after a response from any backend. This is an integral controller over time,
+  /// so it is as stable at a few responses per second as at many.
   /// @param objective_ratio latency over latency objective; OutcomeRecorder passes 1 for an overloaded
   /// backend and 2 for a missed deadline.
   void AdjustAdmissionRatio(double objective_ratio, double now);
--- a/src/policy/outcome_recorder.cpp
+++ b/src/policy/outcome_recorder.cpp
@@ -6,7 +6,8 @@
 namespace lemonchute::policy {
 namespace {
 
-// Latency over latency objective that an overloaded backend's rejection, and a passed deadline, count as.
+// Latency over latency objective that is recorded for a rejection by an overloaded backend, and for a missed
+// deadline.
 constexpr double kOverloadedRatio = 1;
 constexpr double kMissedDeadlineRatio = 2;
 // Time without a response, after which a failed connection means that the backend's process is dead.
@@ -66,8 +67,8 @@
 }
 
 void OutcomeRecorder::RecordFailure(Backend* backend, bool connection_failed, double now, ActionSink* sink) {
-  // A process that takes no connection and has not responded for a while may be starting: it is in slow
-  // start when it responds again. One that refuses some connections and serves others is not.
+  // A process that accepts no connection and has not responded for a while may be restarting, so it is in
+  // slow start when it responds again. One that refuses some connections and serves others is not.
   if (connection_failed && now - backend->last_response_s > kDeadAfterSilenceS)
     backend->slow_start.Begin(now, now, estimates_->LongestMeanServiceTimeS(), random_);
   if (backend->outlier.RecordFailure(now))
--- a/src/policy/outcome_recorder.h
+++ b/src/policy/outcome_recorder.h
@@ -1,4 +1,4 @@
-/// What the outcomes of attempts tell of the backends, the request classes and the load.
+/// Updates the state of backends, the estimates and the load shedder from the outcomes of attempts.
 #ifndef LEMONCHUTE_POLICY_OUTCOME_RECORDER_H_
 #define LEMONCHUTE_POLICY_OUTCOME_RECORDER_H_
 
@@ -13,20 +13,20 @@
 
 namespace lemonchute::policy {
 
-/// Passes outcomes on to the parts that learn from them.
+/// Passes each outcome to the components that adapt to it.
 class OutcomeRecorder {
  public:
-  /// All parts outlive this object.
+  /// All components outlive this object.
   OutcomeRecorder(ServiceTimeEstimates* estimates, BackendSelector* selector, LoadShedder* shedder,
                   QuotaManager* quota, RandomSource* random)
       : estimates_(estimates), selector_(selector), shedder_(shedder), quota_(quota), random_(random) {}
 
-  /// @param attempt has ended with `outcome`, and is not counted as in flight at `backend` any more.
+  /// @param attempt has ended with `outcome`, and is no longer counted as in flight at `backend`.
   void RecordOutcome(Backend* backend, const InFlightRequest& active, const ClassSettings& class_settings,
                      const Attempt& attempt, const AttemptOutcome& outcome, double now, ActionSink* sink);
-  /// @param connection_failed no connection, or one that was reset.
+  /// @param connection_failed the connection was not established, or was reset.
   void RecordFailure(Backend* backend, bool connection_failed, double now, ActionSink* sink);
-  /// A request's deadline has passed at a backend that responds to others.
+  /// A request's deadline has passed although its backend responds to other requests.
   void RecordMissedDeadline(double now);
 
  private:
--- a/src/policy/quota/concurrency_cap.cpp
+++ b/src/policy/quota/concurrency_cap.cpp
@@ -7,11 +7,12 @@
 namespace {
 
 constexpr double kEpochS = 4;
-// Share of the attempts last read that are in flight still, above which too few have ended for an estimate.
+// While more than this share of the attempts last read is still in flight, too few have ended for an
+// estimate.
 constexpr double kFreshShare = 0.9;
-// Time constant for which a customer's number of attempts stays like the one last read.
+// Time constant with which confidence in the number last read decays.
 constexpr double kReadTimeConstantS = 1;
-// Time constant of the mean.
+// Time constant of the mean number of remote attempts.
 constexpr double kMeanTimeConstantS = 1.0;
 
 }  // namespace
@@ -31,7 +32,7 @@
 void ConcurrencyCap::ApplyResponse(int64_t call_epoch, double delta, const CounterResponse& response,
                                    double now) {
   if (call_epoch != epoch) return;
-  // A call that timed out may have arrived.
+  // A call that timed out may have been applied.
   if (response.result == AttemptResult::kOk || response.result == AttemptResult::kTimeout)
     reported_attempts += delta;
   if (response.result != AttemptResult::kOk) return;
--- a/src/policy/quota/counter_channel.cpp
+++ b/src/policy/quota/counter_channel.cpp
@@ -7,11 +7,11 @@
 namespace lemonchute::policy {
 namespace {
 
-// Longest time between this gateway's calls to a counter that fails, unless that is more calls a second than
-// the counter may get from all gateways.
+// Longest time between this gateway's calls to a failing counter, unless that makes more calls per second
+// than the counter may get from all gateways together.
 constexpr double kMaxCallGapS = 0.3;
 constexpr double kMaxFailingCallsPerS = 100;
-// Share of the counter's timeout after which a response is a sign of congestion.
+// Share of the counter's timeout after which a response counts as a sign of congestion.
 constexpr double kSlowCallShare = 0.8;
 constexpr double kCongestionIncrease = 0.1;
 constexpr double kCongestionDecrease = 0.1;
--- a/src/policy/quota/counter_channel.h
+++ b/src/policy/quota/counter_channel.h
@@ -14,23 +14,24 @@
 /// One call, which adds to a counter and reads its total.
 struct CounterCall {
   uint64_t customer_id = 0;
-  int64_t window = 0;  ///< Of the counter; its epoch where it counts attempts.
+  int64_t window = 0;  ///< Of the counter; its epoch if it counts attempts.
   double delta = 0;    ///< Units or attempts.
   bool counts_attempts = false;
   double sent_s = 0;
 };
 
-/// Congestion rises with calls that fail, whether the counter is silent, rejects, or is slow, and falls call
-/// by call, without a burst. It makes calls dearer and rarer. Where chance alone loses calls, it costs older
-/// totals.
+/// Sends the calls. Congestion rises with each call that fails, whether the counter does not respond, rejects
+/// or is slow, and falls gradually with each prompt response, so that no burst follows. It makes calls cost
+/// more and come less often. If calls are lost at random instead, the cost is older totals.
 class CounterChannel {
  public:
   /// @param expiry_s how long the counter keeps the total.
-  /// @return false where the counter has a call in flight.
+  /// @return false if this counter already has a call in flight.
   bool Send(const CounterCall& call, double expiry_s, int gateway_count, ActionSink* sink);
-  /// @return the call that has ended.
+  /// Removes a call that has ended.
+  /// @return the call; nothing if it is unknown.
   std::optional<CounterCall> Take(uint64_t counter_name);
-  /// Adjusts congestion to a call that has ended.
+  /// Adjusts the congestion after a call that has ended.
   void RecordResult(const CounterCall& call, bool succeeded, const Settings& settings, double now,
                     ActionSink* sink);
 
@@ -45,7 +46,7 @@
   static constexpr int kUnavailableAfterFailures = 4;
 
   std::unordered_map<uint64_t, CounterCall> calls_;  // in flight, by the counter's name
-  double next_call_s_ = 0;                           // no call before
+  double next_call_s_ = 0;                           // no calls before this time
   double congestion_ = 0;                            // 0 to 1, in the unit of a call's price
   int consecutive_failures_ = 0;
 };
--- a/src/policy/quota/counter_sync.cpp
+++ b/src/policy/quota/counter_sync.cpp
@@ -12,21 +12,22 @@
 constexpr double kReportBatchShare = 0.25;
 // Windows after which unreported units are reported anyway.
 constexpr double kMaxUnreportedWindows = 0.25;
-// Share of admitted requests that are not reported, for each price of a call; and the most.
+// Share of admitted requests that are not reported, per unit of a call's price and congestion; its maximum.
 constexpr double kUnreportedSharePerCallPrice = 5;
 constexpr double kMaxUnreportedShare = 0.8;
-// Share of unreported requests up to which a customer that was not read yet is.
+// The total of a customer is read for the first time only while less than this share is not reported.
 constexpr double kMaxUnreportedShareForRead = 0.5;
-// Windows for which the counter keeps the units of a window, and of the one before.
+// Windows for which the counter keeps a total: when units are reported, and when the previous window is read.
 constexpr double kExpiryWindows = 3;
 constexpr double kLastWindowExpiryWindows = 2;
-// Units below which a total is taken as zero.
+// Units below which a total is treated as zero.
 constexpr double kZeroUnitsTolerance = 1e-3;
 constexpr double kLossLogIntervalS = 5;
 
 }  // namespace
 
-// A customer that each of many gateways sees once would otherwise go unreported, or take a call each time.
+// Reports are sampled: a customer that each of many gateways sees once would otherwise never be reported, or
+// take a call each time.
 double QuotaManager::UnreportedShare() const {
   return std::min(kMaxUnreportedShare,
                   kUnreportedSharePerCallPrice * (counter_.congestion() + settings_.counter_call_price));
@@ -64,7 +65,7 @@
     cap.call_pending = counter_.Send(call, ConcurrencyCap::ExpiryS(), settings_.gateway_count, sink);
     return;
   }
-  // Reported as soon as calls are allowed, or others would go on counting what has ended.
+  // Reported as soon as calls are allowed, or other gateways would keep counting attempts that have ended.
   if (cap.report_scheduled) return;
   cap.report_scheduled = true;
   unreported_customers_.push_back(customer_id);
@@ -98,7 +99,7 @@
     customer->cap.ApplyResponse(call->window, call->delta, response, now);
   } else if (succeeded) {
     if (call->window == bucket.window) ApplyCounterTotal(*call, customer, response.total, now, sink);
-    // A read of the last window: what exceeded the bucket there is a debt in this one.
+    // A read of the previous window: use there beyond the bucket's size is a debt in this one.
     const PlanSettings& plan = PlanOf(*customer);
     double debt_units = std::clamp(response.total - plan.burst_units, 0.0, plan.burst_units);
     if (call->window + 1 == bucket.window && call->delta == 0) ChargeUnits(customer, debt_units, 1);
@@ -117,15 +118,15 @@
   bucket.total_read_s = now;
   bucket.total_units = total;
   if (remote_units < -settings_.max_request_units) {
-    // Totals hardly fall within a window, so the counter has lost them: what was assumed stands, and the
-    // bucket goes on. This holds for lost, emptied and restarted counters alike.
+    // Totals hardly ever fall within a window, so the counter has lost some: the bucket keeps its state. This
+    // applies to counters that were lost, emptied or restarted alike.
     if (now - loss_logged_s_ > kLossLogIntervalS)
       sink->Log("counter has lost counts: keeping what was known");
     loss_logged_s_ = now;
     return;
   }
   // The first report in a window carries the bucket's state over for all gateways, most of which see the
-  // customer too seldom to know it; a gateway that does not know it reads the window before. Where both fail,
+  // customer too seldom to know it; a gateway that does not know it reads the previous window. If both fail,
   // a full bucket is assumed.
   bool first_of_window =
       remote_units < kZeroUnitsTolerance && total > 0 && total - call.delta < kZeroUnitsTolerance;
--- a/src/policy/quota/customer_quota.h
+++ b/src/policy/quota/customer_quota.h
@@ -1,4 +1,4 @@
-/// Everything that is known of one customer.
+/// The state of one customer.
 #ifndef LEMONCHUTE_POLICY_QUOTA_CUSTOMER_QUOTA_H_
 #define LEMONCHUTE_POLICY_QUOTA_CUSTOMER_QUOTA_H_
 
@@ -15,17 +15,17 @@
 struct QueuedRequest {
   uint32_t request_id = 0;
   double units = 0;
-  bool charged = false;  ///< Its units go with the call; otherwise the call only reads.
+  bool charged = false;  ///< The call adds its units; otherwise it only reads.
 };
 
-/// One customer of this gateway.
+/// What this gateway knows of one customer's use.
 struct CustomerQuota {
   int plan_index = 0;
   double entry_gateways = 1;  ///< Gateways that it may arrive through.
   double first_seen_s = 0;
   double last_seen_s = 0;
   double total_demand_units = 0;    ///< Since it was first seen.
-  double inside_quota_share = 1;    ///< Share of its queued requests that turned out to be inside the quota.
+  double inside_quota_share = 1;    ///< Share of its queued requests that were found inside the quota.
   bool units_call_pending = false;  ///< A call to the counter for its units is in flight.
   TokenBucket bucket;
   ConcurrencyCap cap;
--- a/src/policy/quota/excess_share.h
+++ b/src/policy/quota/excess_share.h
@@ -1,4 +1,4 @@
-/// Shares capacity that the guaranteed rates leave among the customers that ask for more.
+/// Distributes capacity that the guaranteed rates leave unused among the customers that demand more.
 #ifndef LEMONCHUTE_POLICY_QUOTA_EXCESS_SHARE_H_
 #define LEMONCHUTE_POLICY_QUOTA_EXCESS_SHARE_H_
 
@@ -11,16 +11,18 @@
 
 /// One customer's part.
 struct ExcessShare {
-  int64_t demand_tick = -1;  ///< The last tick in which it asked; -1: never.
-  double demand_units = 0;   ///< V_i: units asked for in that tick.
+  int64_t demand_tick = -1;  ///< The last tick in which it sent a request; -1: never.
+  double demand_units = 0;   ///< V_i: units requested in that tick.
   double granted_units = 0;  ///< Units that it may use beyond its tokens.
 };
 
-/// The paper's share term, by ticks of the clock: u_i = V_i / sum V * (W - mu_i), where W is what the
-/// backends served in the tick and mu_i the customer's tokens. A tick with overload grants nothing.
+/// The paper's share term, applied by ticks of the clock: u_i = V_i / sum V * (W - mu_i), where W is the
+/// units that the backends served in the tick and mu_i the customer's tokens. A tick with an overload grants
+/// nothing.
 class ExcessAllocator {
  public:
-  /// Grants the customer its share of the last tick in which it asked, and records its demand in this one.
+  /// Grants the customer its share for the last tick in which it sent a request, and adds to its demand in
+  /// the current one.
   void RecordDemand(ExcessShare* share, double units, double tokens, double burst_units, double now);
   void RecordServed(double units, double now) { ticks_[Advance(now) % kTicks].served_units += units; }
 
@@ -29,9 +31,9 @@
   bool IsOverloaded(double now);
 
  private:
-  // The paper's tick of the share term.
+  // Length of a tick, as the paper has it for the share term.
   static constexpr double kTickS = 0.1;
-  // Ticks kept, so that a customer of few requests finds its last one.
+  // Ticks kept, so that the last tick of a customer with few requests is still there.
   static constexpr int kTicks = 16;
 
   struct Tick {
--- a/src/policy/quota/plan_terms.h
+++ b/src/policy/quota/plan_terms.h
@@ -1,4 +1,4 @@
-/// Figures derived from a plan.
+/// Values derived from the settings of a plan.
 #ifndef LEMONCHUTE_POLICY_QUOTA_PLAN_TERMS_H_
 #define LEMONCHUTE_POLICY_QUOTA_PLAN_TERMS_H_
 
@@ -17,7 +17,7 @@
 /// @return what a request beyond the quota costs, as a share of its priority weight.
 inline double OverageLoss(const PlanSettings& plan) { return plan.overage_cost - plan.excess_value_share; }
 
-/// @return units that the ceiling's bucket holds over all gateways.
+/// @return the units that the ceiling's bucket holds, over all gateways.
 inline double CeilingCapacity(const PlanSettings& plan) {
   constexpr double kUsedSlackShare = 0.95;  // the rest is for rounding
   return plan.ceiling_burst_units + kUsedSlackShare * plan.ceiling_slack_units;
--- a/src/policy/quota/quota_manager.cpp
+++ b/src/policy/quota/quota_manager.cpp
@@ -9,27 +9,27 @@
 namespace lemonchute::policy {
 namespace {
 
-// Idle customers are forgotten after both.
+// A customer is forgotten after it has been idle for both times.
 constexpr double kIdleWindows = 3;
 constexpr double kMinIdleS = 10;
 constexpr double kExpiryIntervalS = kMinIdleS / 10;
-// Share of queued requests that are inside the quota, before any was.
+// Share of queued requests taken to be inside the quota before any has been decided.
 constexpr double kInitialInsideShare = 0.7;
 // Weight of one queued request in that share of its plan, and of its customer.
 constexpr double kPlanInsideWeight = 0.05;
 constexpr double kCustomerInsideWeight = 0.3;
-// Time left that a request must have to wait for the counter, in the counter's timeouts.
+// Time left that a request needs in order to wait for the counter, as a multiple of the counter's timeout.
 constexpr double kMinTimeLeftTimeouts = 4;
 // Chance of capacity under a concurrency cap above which the counter is not asked.
 constexpr double kCertainCapacityChance = 0.9;
-// Variance of the tokens just after a read, and its growth by the others' units.
+// Variance of the tokens just after a read, and the factor of its growth with the units of other gateways.
 constexpr double kBaseVariance = 0.01;
 constexpr double kVarianceShare = 0.5;
-// Scale of the logistic function that is close to a normal distribution.
+// Scale at which the logistic function is close to the normal distribution.
 constexpr double kLogisticScale = 1.7;
-// Demand over the guaranteed rate up to which the past decisions alone count.
+// Demand over the guaranteed rate up to which only the past decisions count.
 constexpr double kUsualDemandShare = 0.5;
-// Bounds of Retry-After's random part.
+// Least value of the random factors, which are spread over a range of 1.
 constexpr double kMinJitter = 0.5;
 
 }  // namespace
@@ -136,8 +136,8 @@
                                     : CheckRate(*customer, request.units, capacity_chance, now);
 }
 
-// The chance fades from the number last read to what became of earlier questions. While the counter is
-// unavailable, the number last read holds.
+// As the number last read ages, the chance moves from what it implies to the share of earlier queued requests
+// that were inside the quota. While the counter is unavailable, the number last read continues to apply.
 QuotaCheck QuotaManager::CheckConcurrency(const CustomerQuota& customer, double capacity_chance, double now) {
   const PlanSettings& plan = PlanOf(customer);
   double confidence = 1;
@@ -188,8 +188,8 @@
          prior_chance * (1 + overage_loss) >= overage_loss;
 }
 
-// What is expected of a customer whose total has not been read: what became of earlier questions, less where
-// it asks this gateway for more than usual.
+// Chance for a customer whose total has not been read: the share of earlier queued requests that were inside
+// the quota, reduced if the demand at this gateway is higher than usual.
 double QuotaManager::PriorInsideChance(const CustomerQuota& customer, double units, double now) const {
   double demand_units_per_s = (customer.total_demand_units - units) * EntryPoints(customer) /
                               (now - customer.first_seen_s + kMinIdleS);
@@ -198,7 +198,8 @@
   return customer.inside_quota_share / (1 + (IsCounterUnavailable() ? 0 : excess_demand));
 }
 
-// Fades from what was last read to the prior. While the counter is unavailable, this gateway's part holds.
+// Moves from the state last read to the prior chance as the read ages. While the counter is unavailable, this
+// gateway's part of the quota continues to apply.
 double QuotaManager::InsideChance(const CustomerQuota& customer, double units, double prior_chance,
                                   double now) const {
   const TokenBucket& bucket = customer.bucket;
@@ -215,11 +216,11 @@
   return confidence / (1 + std::exp(-kLogisticScale * deviations)) + (1 - confidence) * prior_chance;
 }
 
-// A client over a bucket that is known stays away for as long as clients heed. Where the bucket may have
-// tokens (a cap is reached, the ceiling's part is used up, the counter has not been read) its next request
-// may well be admitted, here or elsewhere, and one that waits for longer than its latency objective is lost:
-// it is asked back in about the time of a response, at random, so that clients rejected together don't return
-// together.
+// A client of a customer whose bucket is known to lack tokens is told to wait for the longest time that
+// clients honour. If the bucket may have tokens (a cap is reached, the ceiling's part is used up, the counter
+// has not been read), the client's next request may well be admitted, here or at another gateway, and one
+// that waits for longer than its latency objective is lost: the client is told to return in about the time of
+// a response, with jitter, so that clients rejected together don't return together.
 double QuotaManager::RetryAfterS(const CustomerQuota& customer, const Request& request,
                                  double mean_service_time_s, RandomSource* random) const {
   bool known = customer.bucket.synchronized || EntryPoints(customer) < 2;
@@ -249,7 +250,7 @@
   }
   ChargeUnits(customer, units, 1);
   if (counter_asked || EntryPoints(*customer) <= 1) return;
-  // Some units are not reported, and the others stand for them.
+  // Only a sample of the requests is reported, scaled up to stand for the rest.
   double reported_share = 1 - UnreportedShare() * (1 - 1 / EntryPoints(*customer));
   bucket.unreported_units += units * ((random->Uniform() < reported_share ? 1 / reported_share : 0) - 1);
 }
@@ -295,8 +296,9 @@
 
 void QuotaManager::AskCounter(CustomerQuota* customer, const Request& request, double mean_service_time_s,
                               double now, ActionSink* sink) {
-  // A cap in doubt is asked about as well. With no attempt of its own, this gateway would otherwise go by
-  // what it last read of the others for ever, and each of two could reject on the other's account.
+  // If the cap may be reached, its total is read as well. Without attempts of its own, this gateway would
+  // otherwise rely forever on the number it last read, and two gateways could each reject on account of the
+  // other's attempts.
   const PlanSettings& plan = PlanOf(*customer);
   bool cap_in_doubt =
       customer->cap.local_attempts < plan.max_in_flight &&
--- a/src/policy/quota/quota_manager.h
+++ b/src/policy/quota/quota_manager.h
@@ -1,4 +1,4 @@
-/// The customers: what each may use, and what the gateways tell one another of it through the counter.
+/// Checks the quotas of customers, and shares their use among the gateways through the counter.
 #ifndef LEMONCHUTE_POLICY_QUOTA_QUOTA_MANAGER_H_
 #define LEMONCHUTE_POLICY_QUOTA_QUOTA_MANAGER_H_
 
@@ -17,11 +17,11 @@
 
 enum class QuotaDecision {
   kInside,  ///< Within the customer's quota, as far as is known.
-  kExcess,  ///< Beyond it, and admitted with what others leave.
+  kExcess,  ///< Beyond it, but admitted with capacity that others leave unused.
   kOver,    ///< Rejected.
 };
 
-/// The result of a check.
+/// The result of checking a request against its customer's quota.
 struct QuotaCheck {
   QuotaDecision decision = QuotaDecision::kOver;
   double inside_chance = 0;  ///< The chance that the request is inside the quota.
@@ -35,21 +35,21 @@
   bool succeeded = false;
 };
 
-/// Owns the customers. Pointers to a CustomerQuota hold until ExpireIdle. The order of calls for a request:
-/// FindOrCreate, UpdatePlan, Check; then either RecordAdmission, or Enqueue and AskCounter.
+/// Owns the customers. A pointer to a CustomerQuota stays valid until ExpireIdle. The order of calls for a
+/// request: FindOrCreate, UpdatePlan, Check; then either RecordAdmission, or Enqueue and AskCounter.
 class QuotaManager {
  public:
   /// @param settings outlives this object; changes are announced by ApplySettings.
   QuotaManager(const Settings& settings, double now) : settings_(settings), started_s_(now) {}
 
-  /// Fills the tables of `prepared` for the plans that its settings have added, and resets the renewed ones.
+  /// Extends the tables of `prepared` to the plans that its settings have added, and resets the renewed ones.
   void PrepareSettings(const SettingsIndices& renewed, PreparedSettings* prepared) const;
-  /// Buckets are refilled by the old settings first.
+  /// Refills all buckets; before a change of settings, so that the old ones apply up to `now`.
   void RefillAll(double now);
-  /// The settings have changed: buckets carry over, and are cut to new limits.
+  /// The settings have changed: buckets carry over, reduced to the new limits where these are lower.
   void ApplySettings(const std::vector<PlanSettings>& old_plans, std::vector<double> inside_quota_share,
                      double now);
-  /// Windows have other names from now on.
+  /// Sets the offset of the gateways' shared clock; windows have other names at the counter from now on.
   void SetWallClock(double now, double offset_s);
   void SetProcessCount(double now, int processes);
   int process_count() const { return process_count_; }
@@ -58,9 +58,9 @@
   void ExpireIdle(double now);
 
   CustomerQuota& FindOrCreate(const Request& request, double now);
-  /// @return nullptr where the customer is not known.
+  /// @return nullptr if the customer is unknown.
   CustomerQuota* Find(uint64_t customer_id);
-  /// A customer whose plan the settings have dropped adopts the plan that its requests name.
+  /// Moves a customer whose plan has been removed from the settings to the plan that its request names.
   /// @return whether `plan_index` is the customer's plan now.
   bool UpdatePlan(CustomerQuota* customer, int plan_index, double now);
 
@@ -70,34 +70,36 @@
   /// @return how long a client that is over its quota should wait.
   double RetryAfterS(const CustomerQuota& customer, const Request& request, double mean_service_time_s,
                      RandomSource* random) const;
-  /// A request is sent to a backend.
-  /// @param counter_asked it has waited for the counter.
+  /// Charges a request that is sent to a backend.
+  /// @param counter_asked the request has waited for the counter.
   void RecordAdmission(CustomerQuota* customer, double units, bool inside_quota, bool counter_asked,
                        RandomSource* random);
   void RecordAttemptSent(uint64_t customer_id, double now, ActionSink* sink);
   void RecordAttemptEnded(uint64_t customer_id, double now, ActionSink* sink);
-  /// A response has arrived.
-  /// @param actual_units 0: as requested.
+  /// Records a successful response, and corrects the units that were charged.
+  /// @param actual_units 0: as the request declared.
   void RecordServed(const Request& request, bool inside_quota, double actual_units, double now);
   void MarkOverloaded(double now) { excess_.MarkOverloaded(now); }
 
-  /// @return whether a request should wait for the counter's response, some milliseconds: where it may change
+  /// @return whether a request should wait some milliseconds for the counter's response: if that may change
   /// the decision and is worth more than the price and congestion of a call.
   bool ShouldWaitForCounter(const CustomerQuota& customer, const Request& request, double inside_chance,
                             double now, RandomSource* random) const;
+  /// Adds a request to those that wait for the counter.
+  /// @param charged its units are added by the call.
   void Enqueue(CustomerQuota* customer, const Request& request, bool charged);
-  /// Calls the counter for what is queued, unless calls are in flight or not allowed yet.
+  /// Calls the counter for the queued requests, unless a call is in flight or not allowed yet.
   void AskCounter(CustomerQuota* customer, const Request& request, double mean_service_time_s, double now,
                   ActionSink* sink);
-  /// Takes the queued requests out, to be decided by what is known now.
+  /// Removes and returns the queued requests, for a decision on the current state.
   std::vector<QueuedRequest> TakeQueued(CustomerQuota* customer);
-  /// Ends the wait of one of them. Its units are charged again when it is admitted.
+  /// Returns the units charged for one of them; they are charged again when it is admitted.
   void ReturnQueuedUnits(CustomerQuota* customer, const QueuedRequest& queued);
-  /// Learns from a queued request whose counter was read.
+  /// Updates the shares of queued requests inside the quota, if the counter was read.
   void RecordQueuedDecision(CustomerQuota* customer, bool inside_quota, bool counter_read);
 
   CounterUpdate ApplyCounterResponse(const CounterResponse& response, double now, ActionSink* sink);
-  /// Reports units to the counter, or reads it, where that is due and allowed.
+  /// Reports units to the counter, or reads it, if that is due and allowed.
   void MaybeReportUnits(uint64_t customer_id, CustomerQuota* customer, double now, ActionSink* sink);
   /// Reports a change of attempts in flight, now or as soon as calls are allowed.
   void ReportAttempts(uint64_t customer_id, CustomerQuota* customer, double now, ActionSink* sink);
@@ -107,13 +109,14 @@
   static constexpr uint64_t kReportTimerTag = 1ULL << 41;
 
  private:
-  // Calls to the counter that a question costs: one that asks and adds, at times one that corrects it.
+  // Calls to the counter that a query costs on average: one that adds and reads, at times one that corrects
+  // it.
   static constexpr double kCallsPerQuery = 1.5;
 
   const PlanSettings& PlanOf(const CustomerQuota& customer) const {
     return settings_.plans[customer.plan_index];
   }
-  /// Processes of one gateway count as so many gateways, which share its part.
+  // Gateway processes that the customer may arrive through. Those of one gateway share its part of the quota.
   double EntryPoints(const CustomerQuota& customer) const { return customer.entry_gateways * process_count_; }
   bool IsCounterUnavailable() const { return counter_.IsUnavailable(settings_); }
   BucketTerms TermsOf(const CustomerQuota& customer) const {
@@ -136,10 +139,10 @@
   double wall_clock_offset_s_ = 0;
   int process_count_ = 1;  // of this gateway
   std::unordered_map<uint64_t, CustomerQuota> customers_;
-  std::vector<double> inside_quota_share_;  // by plan, of the queued requests
+  std::vector<double> inside_quota_share_;  // of the queued requests, by plan
   CounterChannel counter_;
   ExcessAllocator excess_;
-  std::vector<uint64_t> unreported_customers_;  // whose attempts are to be reported, each once
+  std::vector<uint64_t> unreported_customers_;  // of ReportScheduledAttempts, each once
   double loss_logged_s_ = -1e9;
   double expired_s_ = 0;
 };
--- a/src/policy/quota/token_bucket.cpp
+++ b/src/policy/quota/token_bucket.cpp
@@ -8,11 +8,12 @@
 namespace lemonchute::policy {
 namespace {
 
-// Share of an even part that traffic finds which moves to this gateway while the counter is unavailable.
+// Share of an even part that a gateway grants at least while the counter is unavailable, for traffic that
+// moves to it.
 constexpr double kMinEvenPartShare = 0.5;
 // Time constant of the rates, in windows.
 constexpr double kRateTimeConstantWindows = 0.5;
-// Least time between two reads that a rate is taken over.
+// Least time between two reads over which a rate is computed.
 constexpr double kMinRateSpanS = 1e-3;
 
 }  // namespace
@@ -35,12 +36,12 @@
   ceiling_tokens = std::min(CeilingCapacity(plan) / terms.entry_points,
                             ceiling_tokens + plan.ceiling_units_per_s / terms.entry_points * elapsed_s);
   if (plan.rate_units_per_s <= 0) return;
-  // The other gateways are taken to go on as last read, until the counter reports. This also holds the quota
-  // to this gateway's part of it while the counter is unavailable, frozen or new.
+  // The other gateways are assumed to continue at the rate last read, until the next read. This also limits
+  // this gateway to its part of the quota while the counter is unavailable, frozen or new.
   tokens = std::min(plan.burst_units, tokens + (plan.rate_units_per_s - RemoteRate(terms)) * elapsed_s);
   int64_t current_window = WindowAt(terms, now);
   if (current_window == window) return;
-  // Where a whole window has passed without a read, the others' use in it is not known.
+  // If a whole window has passed without a read, the use by other gateways in it is unknown.
   bool use_unknown = current_window > window + 1 && terms.entry_points > 1 && !terms.counter_unavailable;
   double left_over_units = window_used_units - plan.rate_units_per_s * WindowS(plan) *
                                                    static_cast<double>(current_window - window);
@@ -48,7 +49,7 @@
   carried_units = window_used_units;
   if (use_unknown) synchronized = false;
   window = current_window;
-  // After a long outage of the counter no more than a burst is reported.
+  // After a long outage of the counter, at most a burst is reported.
   unreported_units = std::min(unreported_units, plan.burst_units);
   total_units = 0;
 }
@@ -59,7 +60,7 @@
   tokens = std::min(tokens, plan.burst_units);
   remote_units_per_s = std::min(remote_units_per_s, plan.rate_units_per_s);
   if (plan.rate_units_per_s <= 0) return;
-  // Windows of another length have other names at the counter, so a new one begins with what is known here.
+  // Windows of another length have other names at the counter, so a new one begins with the local state.
   window = WindowAt(terms, now);
   window_used_units = carried_units = std::max(0.0, plan.burst_units - tokens);
   total_units = 0;
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -7,8 +7,8 @@
 
 // Retries earned by a first attempt.
 constexpr double kRetriesPerRequest = 0.1;
-// A silent attempt is checked after this share of the latency objective, and after so many expected
-// latencies.
+// A check for silence is due after this share of the latency objective or this many expected latencies,
+// whichever is longer.
 constexpr double kSilenceCheckObjectiveShare = 0.5;
 constexpr double kSilenceCheckLatencies = 6;
 
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -1,4 +1,4 @@
-/// Whether, when and until when a request is attempted again.
+/// Decides whether, when and until when a request may be attempted again.
 #ifndef LEMONCHUTE_POLICY_RETRY_POLICY_H_
 #define LEMONCHUTE_POLICY_RETRY_POLICY_H_
 
@@ -7,7 +7,7 @@
 
 namespace lemonchute::policy {
 
-/// Limits further attempts to a share of the first ones, so that retries can't multiply an overload.
+/// Limits retries to a share of the first attempts, so that they can't amplify an overload.
 class RetryBudget {
  public:
   /// A first attempt earns a fraction of a retry.
@@ -21,13 +21,13 @@
   double retries_ = kMaxRetries;
 };
 
-/// @return the clock time before which a repeat has to start so that backends still drop it by its key.
+/// @return the time before which a repeat must start so that backends still drop it by its idempotency key.
 double IdempotencyWindowEndS(const InFlightRequest& active, const ClassSettings& class_settings,
                              double timer_resolution_s);
 /// @return whether idempotency and the number of attempts allow another attempt.
 bool IsRetrySafe(const InFlightRequest& active, const ClassSettings& class_settings,
                  double timer_resolution_s, double now);
-/// @return whether `endpoint` shares the memory of idempotency keys with the first attempt that may have run.
+/// @return whether `endpoint` shares its store of idempotency keys with the first attempt that may have run.
 inline bool IsInIdempotencyScope(const InFlightRequest& active, const ClassSettings& class_settings,
                                  const Endpoint& endpoint) {
   if (!active.may_have_run || class_settings.idempotency == Idempotency::kIdempotent) return true;
@@ -40,7 +40,8 @@
 }
 /// @return whether the client may send the request again: it was not run, or a repeat is dropped.
 bool IsRejectSafe(const InFlightRequest& active, const ClassSettings& class_settings);
-/// @return how long an attempt may be silent before it is checked; a response seldom takes so long by chance.
+/// @return how long to wait for a response before its backend is checked for silence; few responses take that
+/// long by chance.
 /// @param expected_latency_s of the attempt at its backend.
 double SilenceCheckS(const ClassSettings& class_settings, double expected_latency_s);
 
--- a/src/policy/service_time_estimates.cpp
+++ b/src/policy/service_time_estimates.cpp
@@ -57,7 +57,7 @@
   mean_units += (mean_units > 0 ? kMeanWeight : 1) * (units - mean_units);
   double& mean_s = mean_service_time_s_[class_index];
   ServiceTimeSample sample{mean_s, units / mean_units};
-  // Beyond the objective a latency is mostly queueing, not service.
+  // Latency beyond the objective is mostly queueing, not service.
   mean_s += kMeanWeight * (std::min(latency_s, class_settings.latency_objective_s) - mean_s);
   return sample;
 }
--- a/src/policy/service_time_estimates.h
+++ b/src/policy/service_time_estimates.h
@@ -1,4 +1,4 @@
-/// Means by request class: how long a response takes, and how many units a request has.
+/// Estimates by request class: service time, units of a request, and time left at arrival.
 #ifndef LEMONCHUTE_POLICY_SERVICE_TIME_ESTIMATES_H_
 #define LEMONCHUTE_POLICY_SERVICE_TIME_ESTIMATES_H_
 
@@ -8,7 +8,7 @@
 
 namespace lemonchute::policy {
 
-/// What one response tells, relative to the means before it.
+/// One response, relative to the means of its class.
 struct ServiceTimeSample {
   double mean_service_time_s = 0;  ///< Of its class, before this response.
   double relative_size = 1;        ///< The request's units over the mean of its class.
@@ -17,14 +17,14 @@
 /// Estimates over all backends, by class index.
 class ServiceTimeEstimates {
  public:
-  /// Fills the tables of `prepared` for the classes that its settings have added.
+  /// Extends the tables of `prepared` to the classes that its settings have added.
   static void Extend(PreparedSettings* prepared);
-  /// Discards in `prepared` what is known of one class.
+  /// Resets the estimates of one class in `prepared`.
   static void Reset(PreparedSettings* prepared, int class_index);
 
   /// Copies the estimates to `prepared`.
   void CopyTo(PreparedSettings* prepared) const;
-  /// Takes the tables over from `prepared`.
+  /// Moves the tables out of `prepared`.
   void TakeFrom(PreparedSettings* prepared) noexcept;
 
   double MeanServiceTimeS(int class_index) const { return mean_service_time_s_[class_index]; }
@@ -34,8 +34,8 @@
     double mean_units = mean_units_[request.class_index];
     return mean_service_time_s_[request.class_index] * (mean_units > 0 ? request.units / mean_units : 1);
   }
-  /// The most time that a request of the class had left at its arrival: less means that it is a client's
-  /// retry.
+  /// The longest time that a request of the class has had left at its arrival; one with less is taken as a
+  /// client's retry.
   double LongestTimeLeftS(int class_index) const { return longest_time_left_s_[class_index]; }
 
   void RecordArrival(const Request& request);
--- a/src/policy/types.h
+++ b/src/policy/types.h
@@ -1,6 +1,6 @@
 /// Types that the decision module and its callers exchange: settings, events in, actions out.
 ///
-/// Units stand in the names: `_s` is seconds, `_units` the operators' units of work, `_per_s` a rate a
+/// Names carry their units: `_s` is seconds, `_units` the operators' units of work, `_per_s` a rate per
 /// second.
 #ifndef LEMONCHUTE_POLICY_TYPES_H_
 #define LEMONCHUTE_POLICY_TYPES_H_
@@ -19,15 +19,15 @@
   kNonIdempotent,  ///< Never sent again once an attempt may have run.
 };
 
-/// The backends that share one memory of idempotency keys.
+/// Which backends share one store of idempotency keys.
 enum class IdempotencyScope { kAll, kZone, kCell };
 
 /// One class of requests.
 struct ClassSettings {
   double latency_objective_s = 0;  ///< A response within this earns the full priority weight.
   double deadline_s = 0;           ///< The longest that a client waits.
-  double idempotency_window_s =
-      0;                        ///< How long repeats are dropped, from the first attempt that may have run.
+  /// How long backends drop repeats, counted from the first attempt that may have run.
+  double idempotency_window_s = 0;
   double priority_weight = 0;   ///< The value of a response within the latency objective.
   double late_value_share = 0;  ///< Share of that value between latency objective and deadline.
   Idempotency idempotency = Idempotency::kIdempotent;
@@ -36,7 +36,7 @@
   bool operator==(const ClassSettings&) const = default;
 };
 
-/// One plan. Its quotas hold for each customer over all gateways together.
+/// One plan. Its quotas apply to each customer, over all gateways together.
 struct PlanSettings {
   double rate_units_per_s = 0;     ///< Guaranteed rate; 0: no rate quota.
   double burst_units = 0;          ///< Size of the token bucket.
@@ -50,13 +50,13 @@
   bool removed = false;   ///< Only customers seen before still refer to this index.
 };
 
-/// Everything that the module is told of the site and of this gateway.
+/// The settings of the deployment and of this gateway.
 struct Settings {
   int gateway_index = 0;  ///< From 0.
   int gateway_count = 0;
   int zone = 0;
   double timer_resolution_s = 0;
-  bool discovery_pushes = false;  ///< Endpoint lists arrive unasked; otherwise they are polled.
+  bool discovery_pushes = false;  ///< Discovery pushes endpoint lists; otherwise they are polled.
   double max_request_units = 0;
   bool counter_enabled = false;  ///< The gateways share a counter service.
   double counter_timeout_s = 0;
@@ -67,7 +67,7 @@
   bool retry_after_allowed = false;  ///< A rejection may carry Retry-After.
   double max_retry_after_s = 0;
   int max_attempts = 0;
-  double cold_capacity_share = 0;     ///< Share of its capacity that a backend has at its start.
+  double cold_capacity_share = 0;     ///< Share of its full capacity that a backend has when it starts.
   double warm_up_s = 0;               ///< Time from start to full capacity.
   double cold_overload_multiple = 0;  ///< Load over capacity at which a cold backend collapses.
   double cold_overload_window_s = 0;
@@ -116,10 +116,10 @@
   kConnectFailed,  ///< No connection, or the time was over before the request was written completely.
   kReset,          ///< The connection broke; the request may have run.
   kCancelled,      ///< Cancelled after it was written completely.
-  kNotSent,        ///< Held back here, or cancelled before it was written completely.
+  kNotSent,        ///< Held back by the gateway, or cancelled before it was written completely.
 };
 
-/// @return whether an attempt that ended so may have had its effect on the backend.
+/// @return whether an attempt with this result may have taken effect at the backend.
 constexpr bool MayHaveRun(AttemptResult result) {
   return result != AttemptResult::kOverloaded && result != AttemptResult::kConnectFailed &&
          result != AttemptResult::kNotSent;
@@ -137,7 +137,7 @@
   bool request_finished = false;
   uint32_t backend_id = 0;
   double actual_units = 0;  ///< 0: not reported.
-  /// Time that is not the backend's: until the last byte of a request that arrived in pieces was sent, or
+  /// Time not spent by the backend: until the last byte of a request that arrived in pieces was sent, or
   /// until a connection was available.
   double upload_s = 0;
   bool body_discarded = false;  ///< The body is gone, so the request can't be sent again.
@@ -146,7 +146,7 @@
 /// The counter service's response to ActionKind::kCallCounter.
 struct CounterResponse {
   uint64_t counter_name = 0;
-  double total = 0;  ///< Of the counter, after the call's delta.
+  double total = 0;  ///< Of the counter, including the call's delta.
   AttemptResult result = AttemptResult::kOk;
 };
 
@@ -155,7 +155,7 @@
   kInvalidRequest,     ///< Its fields are invalid, or its time is over.
   kRateQuota,          ///< Beyond its customer's rate quota, as far as this gateway knows.
   kCeiling,            ///< Beyond this gateway's part of the ceiling.
-  kConcurrencyCap,     ///< Its customer has as many attempts in flight as it may.
+  kConcurrencyCap,     ///< Its customer has as many attempts in flight as its plan allows.
   kLoadShed,           ///< Capacity is reserved for requests of higher value.
   kNoBackend,          ///< No backend may take it now.
   kAttemptsExhausted,  ///< Its attempts have failed and none is left.
@@ -173,7 +173,7 @@
   kPollEndpoints
 };
 
-/// One thing that the caller has to do.
+/// One operation for the caller to carry out.
 struct Action {
   ActionKind kind = ActionKind::kLog;
   uint32_t request_id = 0;
@@ -183,7 +183,7 @@
   double duration_s = 0;     ///< Attempt timeout, timer delay, Retry-After or counter expiry.
   double counter_delta = 0;  ///< Added to the counter.
   RejectReason reason = RejectReason::kInvalidRequest;  ///< Of kReject and kFail.
-  /// Of kSendAttempt: how late it may begin, since a repeat must start within its window; 0: any time.
+  /// Of kSendAttempt: time within which it must start, so that a repeat is still dropped; 0: no limit.
   double start_within_s = 0;
   std::string text;  ///< Of kLog.
 };
--- a/tests/silent_balancer.cpp
+++ b/tests/silent_balancer.cpp
@@ -1,5 +1,6 @@
-// A decision module that never responds, linked in place of the real one to test the gateway's response
-// deadline. Requests of class 1 (with idempotency key) are sent once, to the backend listed last.
+// A decision module that never responds to requests, linked in place of the real one to test the gateway's
+// own response deadline. Requests of class 1 (with idempotency key) are sent once, to the backend listed
+// last.
 #include "policy/balancer.h"
 
 namespace lemonchute::policy {
