--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -10,7 +10,7 @@
 namespace lemonchute::policy {
 namespace {
 
-// A site of one plan and three classes; every test names what it changes.
+// Settings with one plan and three request classes; each test sets what differs.
 Settings TestSettings() {
   Settings settings;
   settings.gateway_count = 3;
@@ -18,7 +18,8 @@
   settings.discovery_pushes = true;
   settings.max_request_units = 4;
   settings.counter_enabled = true;
-  settings.counter_timeout_s = 0.3;  // too long for a try to be held for: tests of that shorten it
+  // Too long to queue requests for the counter; tests of queueing shorten it.
+  settings.counter_timeout_s = 0.3;
   settings.cancellation_allowed = true;
   settings.retry_after_allowed = true;
   settings.max_retry_after_s = 2;
@@ -49,6 +50,9 @@
   return settings;
 }
 
+// One gateway's balancer with a list of backends, whose ids count from 50, two in each cell. The caller moves
+// the clock and plays clients, backends and counter. Each call replaces `actions` by the actions that it
+// causes.
 class BalancerHarness {
  public:
   explicit BalancerHarness(const Settings& settings, int backend_count = 4, double start_s = 100)
@@ -65,6 +69,7 @@
     actions.clear();
   }
 
+  // Returns the request's id.
   uint32_t SubmitRequest(double units = 1, int class_index = 0, double time_left_s = 1.0,
                          uint64_t customer_id = 9, double entry_gateways = 1) {
     Request request;
@@ -99,7 +104,8 @@
     balancer.OnAttemptOutcome(now, outcome, &actions);
   }
 
-  // Asks and answers at once; true if it was let in.
+  // Submits a request and ends its attempt with success at once, without moving the clock; returns whether an
+  // attempt was sent. A call to the counter that the request causes is appended to `counter_calls`.
   bool ServeRequest(double units = 1, uint64_t customer_id = 9, double entry_gateways = 1,
                     double actual_units = 0) {
     uint32_t request_id = SubmitRequest(units, 0, 1.0, customer_id, entry_gateways);
@@ -124,22 +130,23 @@
   Balancer balancer;
 };
 
-TEST(TokenBucket, HoldsTheBurstAndRefillsAtTheRate) {
+TEST(TokenBucket, AdmitsABurstAndRefillsAtTheGuaranteedRate) {
   Settings settings = TestSettings();
   settings.counter_enabled = false;
   BalancerHarness harness(settings);
-  harness.now = 100;  // a window's start
+  harness.now = 100;  // start of a window
   int admitted = 0;
   for (int i = 0; i < 30; ++i) admitted += harness.ServeRequest();
   EXPECT_EQ(admitted, 10);
-  harness.now = 102.001;  // two seconds at two units a second
+  harness.now = 102.001;  // two seconds at two units per second
   admitted = 0;
   for (int i = 0; i < 30; ++i) admitted += harness.ServeRequest();
   EXPECT_EQ(admitted, 4);
 }
 
-// New settings cut a bucket and never fill it; a class that comes after takes its own place.
-TEST(Settings, CarryBucketsOverAndKeepTheRulesOfInFlightRequests) {
+// New settings may reduce the tokens of a bucket and never add any; a class that is added can be used at
+// once.
+TEST(Settings, ChangeKeepsBucketsAndTheMaxAttemptsOfInFlightRequests) {
   Settings settings = TestSettings();
   settings.counter_enabled = false;
   BalancerHarness harness(settings);
@@ -153,19 +160,19 @@
   harness.balancer.OnSettings(harness.now, harness.balancer.PrepareSettings(settings, {}), &harness.actions);
   int admitted = 0;
   for (int i = 0; i < 30; ++i) admitted += harness.ServeRequest();
-  EXPECT_EQ(admitted, 2) << "what was left";
+  EXPECT_EQ(admitted, 2) << "the tokens left before the change";
   harness.EndAttempt(open_request_id, backend_id, AttemptResult::kError);
-  ASSERT_TRUE(harness.AttemptSent()) << "five attempts, as when it came";
-  EXPECT_TRUE(harness.ServeRequest(1, 77)) << "one not seen before";
+  ASSERT_TRUE(harness.AttemptSent()) << "max_attempts is five, as at its arrival";
+  EXPECT_TRUE(harness.ServeRequest(1, 77)) << "a customer without a bucket yet";
   uint32_t new_request_id = harness.SubmitRequest(1, 3, 1.0, 78);
   ASSERT_TRUE(harness.AttemptSent());
   harness.EndAttempt(new_request_id, harness.FindAction(ActionKind::kSendAttempt)->backend_id,
                      AttemptResult::kError);
-  EXPECT_FALSE(harness.AttemptSent()) << "one attempt";
+  EXPECT_FALSE(harness.AttemptSent()) << "max_attempts is one now";
 }
 
-// A request ends by the settings that it came under, whatever they say of cancelling since.
-TEST(Settings, AnInFlightRequestKeepsItsAttemptRules) {
+// Whether an attempt may be cancelled depends on the settings at the request's arrival, not on later ones.
+TEST(Settings, ChangeKeepsTheCancellationRuleOfInFlightRequests) {
   Settings settings = TestSettings();
   BalancerHarness harness(settings);
   uint32_t old_request_id = harness.SubmitRequest();
@@ -182,28 +189,28 @@
   EXPECT_EQ(harness.FindAction(ActionKind::kCancelAttempt), nullptr);
 }
 
-// A place of a class or plan is in use as long as a request or a customer refers to it.
-TEST(Settings, IndicesAreInUseAsLongAsSomethingRefersToThem) {
+// The index of a class or plan is in use as long as a request or a customer refers to it.
+TEST(Settings, IndicesAreInUseWhileARequestOrCustomerRefersToThem) {
   Settings settings = TestSettings();
   settings.counter_enabled = false;
   settings.plans.push_back(settings.plans[0]);
   BalancerHarness harness(settings);
   EXPECT_TRUE(harness.balancer.IndicesInUse().classes.empty());
   EXPECT_TRUE(harness.balancer.IndicesInUse().plans.empty());
-  EXPECT_EQ(harness.balancer.IndicesInUse().zones.count(0), 1u) << "of the backends";
+  EXPECT_EQ(harness.balancer.IndicesInUse().zones.count(0), 1u) << "the zone of the backends";
   uint32_t request_id = harness.SubmitRequest(1, 2);
   uint32_t backend_id = harness.FindAction(ActionKind::kSendAttempt)->backend_id;
   EXPECT_EQ(harness.balancer.IndicesInUse().classes, std::unordered_set<int>{2});
   harness.EndAttempt(request_id, backend_id, AttemptResult::kOk);
   EXPECT_TRUE(harness.balancer.IndicesInUse().classes.empty());
   EXPECT_EQ(harness.balancer.IndicesInUse().plans, std::unordered_set<int>{0})
-      << "the customer is remembered";
+      << "the customer is still known";
   harness.now += 100;
-  harness.ServeRequest(1, 77);  // what is idle goes at a request
+  harness.ServeRequest(1, 77);  // a request removes idle customers
   EXPECT_EQ(harness.balancer.IndicesInUse().plans.size(), 1u);
 }
 
-TEST(Settings, ARenewedIndexForgetsItsEstimates) {
+TEST(Settings, RenewedIndexResetsItsEstimates) {
   Settings settings = TestSettings();
   BalancerHarness harness(settings);
   for (int i = 0; i < 5; ++i) {
@@ -219,9 +226,9 @@
   EXPECT_GT(harness.balancer.PrepareSettings(settings, {}).mean_units[0], 0);
 }
 
-// A dropped plan's customers go by the one that they name now, with the debt that they have; and by the old
-// one again where it comes back.
-TEST(Settings, ACustomerOfARemovedPlanAdoptsTheOneItNames) {
+// A customer whose plan is removed moves to the plan that its requests name, and keeps what it has used; it
+// moves back if that plan is removed and the old one returns.
+TEST(Settings, CustomerOfARemovedPlanAdoptsThePlanOfItsRequests) {
   Settings settings = TestSettings();
   settings.counter_enabled = false;
   PlanSettings other_plan = settings.plans[0];
@@ -246,23 +253,23 @@
   int admitted = 0;
   for (int i = 0; i < 7; ++i) admitted += serve_on_plan(0);
   ASSERT_EQ(admitted, 7);
-  EXPECT_FALSE(serve_on_plan(1)) << "its plan is there, and this is not it";
+  EXPECT_FALSE(serve_on_plan(1)) << "its own plan still exists";
   settings.plans[0].removed = true;
   harness.balancer.OnSettings(harness.now, harness.balancer.PrepareSettings(settings, {}), &harness.actions);
   admitted = 0;
   for (int i = 0; i < 30; ++i) admitted += serve_on_plan(1);
-  EXPECT_EQ(admitted, 3) << "what was left of its ten";
+  EXPECT_EQ(admitted, 3) << "tokens left of its burst of ten";
   settings.plans[0].removed = false;
   settings.plans[1].removed = true;
   harness.balancer.OnSettings(harness.now, harness.balancer.PrepareSettings(settings, {}), &harness.actions);
-  harness.now += 1.001;  // two units
+  harness.now += 1.001;  // refills two units
   admitted = 0;
   for (int i = 0; i < 30; ++i) admitted += serve_on_plan(0);
   EXPECT_EQ(admitted, 2);
 }
 
-// A cap that falls under what is out holds as soon as enough has ended.
-TEST(Settings, ACapBelowTheAttemptsInFlightBinds) {
+// A cap that is lowered below the attempts in flight rejects requests until enough of them have ended.
+TEST(Settings, CapLoweredBelowTheAttemptsInFlightRejectsUntilTheyEnd) {
   Settings settings = TestSettings();
   settings.counter_enabled = false;
   settings.plans[0].rate_units_per_s = 0;
@@ -283,13 +290,13 @@
                        AttemptResult::kOk);
   }
   harness.SubmitRequest();
-  EXPECT_FALSE(harness.AttemptSent()) << "two are out";
+  EXPECT_FALSE(harness.AttemptSent()) << "two are in flight";
   harness.EndAttempt(in_flight[2].first, in_flight[2].second, AttemptResult::kOk);
   harness.SubmitRequest();
   EXPECT_TRUE(harness.AttemptSent());
 }
 
-TEST(TokenBucket, RejectionCarriesTheLongestRetryAfter) {
+TEST(TokenBucket, RejectionOverAKnownQuotaCarriesTheMaximumRetryAfter) {
   Settings settings = TestSettings();
   BalancerHarness harness(settings);
   while (harness.ServeRequest()) {
@@ -298,7 +305,7 @@
   EXPECT_EQ(harness.FindAction(ActionKind::kReject)->duration_s, 2);
 }
 
-TEST(ExcessShare, OnlyPlansWithProfitableExcessGetAGrant) {
+TEST(ExcessShare, IsGrantedOnlyToPlansWithProfitableExcess) {
   for (bool profitable : {false, true}) {
     Settings settings = TestSettings();
     settings.counter_enabled = false;
@@ -319,7 +326,7 @@
   }
 }
 
-TEST(ExcessShare, NothingIsGrantedAfterAnOverload) {
+TEST(ExcessShare, IsNotGrantedAfterAnOverload) {
   Settings settings = TestSettings();
   settings.counter_enabled = false;
   settings.plans[0].overage_cost = 0;
@@ -343,29 +350,29 @@
   EXPECT_LE(admitted, 14);
 }
 
-TEST(Counter, FirstRequestsGetAnEvenPartAndReadAtOnce) {
+TEST(Counter, NewCustomerGetsAnEvenPartAndIsReadAtOnce) {
   BalancerHarness harness(TestSettings());
   int admitted = 0;
   for (int i = 0; i < 10; ++i) admitted += harness.ServeRequest(1, 9, 3);
   EXPECT_GE(admitted, 3);
   EXPECT_LE(admitted, 4);
-  ASSERT_EQ(harness.counter_calls.size(), 1u);  // one call in flight a name
+  ASSERT_EQ(harness.counter_calls.size(), 1u);  // one call in flight per counter
 }
 
-TEST(Counter, RemoteUnitsAreTakenFromTheBucket) {
+TEST(Counter, UnitsOfOtherGatewaysAreTakenFromTheBucket) {
   BalancerHarness harness(TestSettings());
   ASSERT_TRUE(harness.ServeRequest(1, 9, 3));
   harness.RespondToCounterCall(harness.counter_calls[0].tag, 9 + harness.counter_calls[0].counter_delta);
   EXPECT_FALSE(harness.ServeRequest(2, 9, 3));
 }
 
-TEST(Counter, BucketIsCarriedOverTheWindow) {
+TEST(Counter, BucketCarriesOverToTheNextWindow) {
   BalancerHarness harness(TestSettings(), 4, 104.98);
   ASSERT_TRUE(harness.ServeRequest(1, 9, 3));
   uint64_t counter_name = harness.counter_calls[0].tag;
   harness.now = 104.99;
   harness.RespondToCounterCall(counter_name, 19 + harness.counter_calls[0].counter_delta);
-  harness.now = 105.01;  // the next window: the store is empty, not a burst again
+  harness.now = 105.01;  // next window: the bucket stays empty and does not hold a new burst
   int admitted = 0;
   for (int i = 0; i < 10; ++i) admitted += harness.ServeRequest(1, 9, 3);
   EXPECT_LE(admitted, 1);
@@ -373,10 +380,10 @@
   harness.now = 130;
   harness.ServeRequest(1, 9, 3);
   ASSERT_GT(harness.counter_calls.size(), 1u);
-  EXPECT_NE(harness.counter_calls.back().tag, counter_name);  // and a name of its own
+  EXPECT_NE(harness.counter_calls.back().tag, counter_name);  // each window has its own counter
 }
 
-TEST(Counter, AWindowAfterAnOverspentOneStartsEmpty) {
+TEST(Counter, WindowAfterAnOverspentOneStartsEmpty) {
   BalancerHarness harness(TestSettings());
   ASSERT_TRUE(harness.ServeRequest(1, 9, 3));
   harness.RespondToCounterCall(harness.counter_calls[0].tag, 2);  // another gateway has sent one
@@ -384,20 +391,20 @@
   harness.now = 102;
   ASSERT_TRUE(harness.ServeRequest(1, 9, 3));
   ASSERT_EQ(harness.counter_calls.size(), 1u);
-  harness.RespondToCounterCall(harness.counter_calls[0].tag, 32);  // twenty were to be had in this window
+  harness.RespondToCounterCall(harness.counter_calls[0].tag, 32);  // twenty units were allowed in this window
   harness.counter_calls.clear();
   int admitted = 0;
   for (int i = 0; i < 8; ++i) {
     harness.now = 105.1 + 0.6 * i;
     admitted += harness.ServeRequest(1, 9, 3);
-    for (const Action& call : harness.counter_calls)
-      harness.RespondToCounterCall(call.tag, 12);  // and ten in the next, which others have passed
+    // Ten units are allowed in this window; other gateways exceed that.
+    for (const Action& call : harness.counter_calls) harness.RespondToCounterCall(call.tag, 12);
     harness.counter_calls.clear();
   }
   EXPECT_LE(admitted, 1);
 }
 
-TEST(Counter, BatchesGrowWithTheTokensLeft) {
+TEST(Counter, ReportsAreLargerBatchesWhileManyTokensAreLeft) {
   Settings settings = TestSettings();
   settings.plans[0].rate_units_per_s = 200;
   settings.plans[0].burst_units = 1000;
@@ -412,7 +419,7 @@
   EXPECT_GT(harness.counter_calls[0].counter_delta, 100);
 }
 
-TEST(Counter, ACallThatTimedOutIsNotAddedAgain) {
+TEST(Counter, UnitsOfACallThatTimedOutAreNotReportedAgain) {
   BalancerHarness harness(TestSettings());
   ASSERT_TRUE(harness.ServeRequest(4));
   ASSERT_EQ(harness.counter_calls.back().counter_delta, 4);
@@ -420,14 +427,14 @@
   harness.now += 0.01;
   ASSERT_TRUE(harness.ServeRequest(1));
   EXPECT_EQ(harness.counter_calls.back().counter_delta, 1);
-  harness.RespondToCounterCall(harness.counter_calls.back().tag,
-                               1);  // it was lost, but might have been added
+  // The first call was lost, though it might have been applied.
+  harness.RespondToCounterCall(harness.counter_calls.back().tag, 1);
   harness.now += 0.01;
   ASSERT_TRUE(harness.ServeRequest(1));
   EXPECT_EQ(harness.counter_calls.back().counter_delta, 1);
 }
 
-TEST(Counter, ARejectedCallIsReportedAgain) {
+TEST(Counter, UnitsOfARejectedCallAreReportedAgain) {
   BalancerHarness harness(TestSettings());
   ASSERT_TRUE(harness.ServeRequest(4));
   harness.RespondToCounterCall(harness.counter_calls.back().tag, 0, AttemptResult::kOverloaded);
@@ -436,7 +443,7 @@
   EXPECT_EQ(harness.counter_calls.back().counter_delta, 5);
 }
 
-TEST(Counter, LostCountsGiveNothingBack) {
+TEST(Counter, ATotalThatTheCounterLostReturnsNoTokens) {
   BalancerHarness harness(TestSettings());
   ASSERT_TRUE(harness.ServeRequest(1, 9, 3));
   harness.RespondToCounterCall(harness.counter_calls.back().tag,
@@ -445,14 +452,14 @@
   harness.now = 101.5;
   ASSERT_TRUE(harness.ServeRequest(1, 9, 3));
   ASSERT_GT(harness.counter_calls.size(), calls_before);
-  harness.RespondToCounterCall(harness.counter_calls.back().tag,
-                               harness.counter_calls.back().counter_delta);  // others' eight are gone
+  // The counter has lost the other gateways' eight units.
+  harness.RespondToCounterCall(harness.counter_calls.back().tag, harness.counter_calls.back().counter_delta);
   int admitted = 0;
   for (int i = 0; i < 10; ++i) admitted += harness.ServeRequest(1, 9, 3);
   EXPECT_EQ(admitted, 0);
 }
 
-TEST(Counter, AnUnavailableCounterLeavesThisGatewaysPartAndFewCalls) {
+TEST(Counter, WhileUnavailableThisGatewaysPartAppliesAndCallsAreFew) {
   Settings settings = TestSettings();
   settings.counter_timeout_s = 0.03;
   BalancerHarness harness(settings);
@@ -471,13 +478,13 @@
     if (backend_id != 0) harness.EndAttempt(request_id, backend_id, AttemptResult::kOk);
     admitted += backend_id != 0;
   }
-  EXPECT_NEAR(admitted, 50 + 5, 7);  // half of two a second over 50 s, and a store
+  EXPECT_NEAR(admitted, 50 + 5, 7);  // half of two units per second over 50 s, and of a burst
   EXPECT_LT(call_count, 200);
 }
 
-// Each of the gateways that a customer may come through lets its part in, however often it is asked for more:
-// one who asks again and again, since refused, is not locked out.
-TEST(Counter, WithoutOneACustomerHasThisGatewaysPart) {
+// Each gateway that a customer may arrive through admits its part of the quota, however high the demand: a
+// customer that keeps retrying rejected requests is not locked out.
+TEST(Counter, WithoutACounterThisGatewaysPartAppliesAtAnyDemand) {
   Settings settings = TestSettings();
   settings.counter_enabled = false;
   settings.gateway_count = 4;
@@ -488,13 +495,13 @@
     harness.now = 100 + i * 0.1;
     admitted += harness.ServeRequest(1, 9, 4);
   }
-  EXPECT_NEAR(admitted, (10 + 40 * 2) / 4, 2);  // a quarter of a store and of two a second over 40 s
+  EXPECT_NEAR(admitted, (10 + 40 * 2) / 4, 2);  // a quarter of a burst and of two units per second over 40 s
 }
 
-TEST(Counter, WhileUnavailableARiseKeepsToTheReportedPart) {
+TEST(Counter, WhileUnavailableADemandRiseIsLimitedToThePartLastRead) {
   BalancerHarness harness(TestSettings());
   double total = 0;
-  for (int i = 0; i < 40; ++i) {  // told: an equal part of little use
+  for (int i = 0; i < 40; ++i) {  // totals read: low use, split evenly between two gateways
     harness.now = 100 + i * 0.5;
     ASSERT_TRUE(harness.ServeRequest(0.25, 9, 2));
     for (Action& call : harness.counter_calls)
@@ -503,7 +510,7 @@
     if (std::fmod(harness.now, 5) > 4.4) total = 0;
   }
   double admitted_units = 0, demand_units = 0;
-  for (int i = 0; i < 1200; ++i) {  // then silence, and far more is asked
+  for (int i = 0; i < 1200; ++i) {  // then calls fail, and demand is far higher
     harness.now += 0.05;
     admitted_units += harness.ServeRequest(0.5, 9, 2) ? 0.5 : 0;
     demand_units += 0.5;
@@ -516,7 +523,7 @@
   EXPECT_GT(demand_units, 500);
 }
 
-TEST(Counter, ActualUnitsMoveTheBucketAndTotalsOnlyRise) {
+TEST(Counter, ActualUnitsCorrectTheBucketAndReportsAreNeverNegative) {
   BalancerHarness harness(TestSettings());
   ASSERT_TRUE(harness.ServeRequest(4, 9, 1, 1));
   harness.RespondToCounterCall(harness.counter_calls.back().tag, 4);
@@ -525,10 +532,10 @@
     admitted += harness.ServeRequest();
     for (const Action& call : harness.counter_calls) EXPECT_GE(call.counter_delta, 0);
   }
-  EXPECT_EQ(admitted, 9);  // ten, less the one unit it really was
+  EXPECT_EQ(admitted, 9);  // ten minus the one unit that the first request actually used
 }
 
-TEST(Ceiling, IsSplitAndStartsEmpty) {
+TEST(Ceiling, IsSplitOverGatewaysAndStartsEmpty) {
   Settings settings = TestSettings();
   settings.plans[0].rate_units_per_s = 1000;
   settings.plans[0].burst_units = 1000;
@@ -536,7 +543,7 @@
   settings.plans[0].ceiling_burst_units = 60;
   settings.plans[0].ceiling_slack_units = 6;
   BalancerHarness harness(settings);
-  EXPECT_FALSE(harness.ServeRequest(1, 9, 3));  // just started: what was spent before is not known
+  EXPECT_FALSE(harness.ServeRequest(1, 9, 3));  // just started: earlier use is unknown
   harness.now = 101.001;
   int admitted = 0;
   for (int i = 0; i < 200; ++i) admitted += harness.ServeRequest(1, 9, 3);
@@ -546,13 +553,13 @@
   for (int i = 0; i < 200; ++i) {
     admitted += harness.ServeRequest(1, 9, 3);
     for (Action& call : harness.counter_calls)
-      harness.RespondToCounterCall(call.tag, 0);  // a counter that says nothing was used changes nothing
+      harness.RespondToCounterCall(call.tag, 0);  // a total of zero does not raise the ceiling
     harness.counter_calls.clear();
   }
-  EXPECT_EQ(admitted, 21);  // a third of the store and of nearly all the slack
+  EXPECT_EQ(admitted, 21);  // a third of the ceiling's burst and of 95 % of its slack
 }
 
-// Two processes of one gateway have its part of the ceiling together.
+// Two processes of one gateway share its part of the ceiling.
 TEST(Ceiling, IsSharedByTheProcessesOfAGateway) {
   Settings settings = TestSettings();
   settings.counter_enabled = false;
@@ -567,14 +574,14 @@
   };
   BalancerHarness one_process(settings);
   one_process.now += 100;
-  EXPECT_EQ(count_admitted(one_process), 20) << "a third of the store";
+  EXPECT_EQ(count_admitted(one_process), 20) << "a third of the ceiling's burst";
   BalancerHarness two_processes(settings);
   two_processes.now += 100;
   two_processes.ServeRequest(1, 9, 3);
   two_processes.balancer.OnProcessCount(two_processes.now, 2, &two_processes.actions);
   EXPECT_EQ(count_admitted(two_processes), 10);
   two_processes.now += 1;
-  EXPECT_EQ(count_admitted(two_processes), 5) << "and of its rate";
+  EXPECT_EQ(count_admitted(two_processes), 5) << "half of this gateway's part of the rate";
   two_processes.balancer.OnProcessCount(two_processes.now, 1, &two_processes.actions);
   two_processes.now += 1;
   EXPECT_EQ(count_admitted(two_processes), 10);
@@ -597,7 +604,7 @@
   EXPECT_TRUE(harness.AttemptSent());
 }
 
-TEST(ConcurrencyCap, RemoteAttemptsAreReadFromTheCounterAndFade) {
+TEST(ConcurrencyCap, AttemptsOfOtherGatewaysAreReadFromTheCounterAndExpire) {
   Settings settings = TestSettings();
   settings.plans[0].rate_units_per_s = settings.plans[0].burst_units = 0;
   settings.plans[0].max_in_flight = 2;
@@ -608,7 +615,7 @@
   EXPECT_EQ(counter_call->counter_delta, 1);
   uint64_t counter_name = counter_call->tag;
   uint32_t backend_id = harness.FindAction(ActionKind::kSendAttempt)->backend_id;
-  harness.RespondToCounterCall(counter_name, 2);  // own one, and one of another gateway
+  harness.RespondToCounterCall(counter_name, 2);  // one attempt of this gateway and one of another
   harness.SubmitRequest(1, 0, 1.0, 9, 2);
   EXPECT_FALSE(harness.AttemptSent());
   harness.EndAttempt(request_id, backend_id, AttemptResult::kOk);
@@ -617,26 +624,26 @@
   harness.RespondToCounterCall(counter_name, 2);
   harness.SubmitRequest(1, 0, 1.0, 9, 2);
   EXPECT_FALSE(harness.AttemptSent());
-  harness.now += 3;  // what was heard so long ago is over
+  harness.now += 3;  // the number read is out of date by now
   harness.SubmitRequest(1, 0, 1.0, 9, 2);
   EXPECT_TRUE(harness.AttemptSent());
 }
 
-// A process may be held up for 0.15 s between its clock and a write: a repeat that this could carry past its
-// window is not made.
-TEST(Attempts, ARepeatLeavesTimeInItsWindowForAProcessPause) {
+// A process may stall for up to 0.15 s between reading its clock and writing, so a repeat that could then
+// start after its idempotency window is not sent.
+TEST(Attempts, RepeatIsNotSentIfAProcessStallCouldCarryItPastItsWindow) {
   for (double window_left_s : {0.2, 0.1}) {
     BalancerHarness harness(TestSettings());
     uint32_t request_id = harness.SubmitRequest(1, 1, 1.5);
     ASSERT_TRUE(harness.AttemptSent());
-    harness.now += 1.2 - window_left_s;  // of the window
+    harness.now += 1.2 - window_left_s;  // the idempotency window is 1.2 s
     harness.EndAttempt(request_id, harness.FindAction(ActionKind::kSendAttempt)->backend_id,
                        AttemptResult::kReset);
     EXPECT_EQ(harness.AttemptSent(), window_left_s > 0.15) << window_left_s;
   }
 }
 
-TEST(Overload, TheLastCapacityIsForTheHighestValue) {
+TEST(Overload, LastCapacityIsReservedForTheHighestValue) {
   Settings settings = TestSettings();
   settings.classes[1].priority_weight = 10;
   BalancerHarness harness(settings, 2);
@@ -649,7 +656,7 @@
   EXPECT_GT(sent[0], 0);
 }
 
-TEST(Overload, SlowResponsesDecreaseTheLimitAndQuickOnesRestoreIt) {
+TEST(Overload, SlowResponsesDecreaseTheLimitAndFastOnesRestoreIt) {
   BalancerHarness harness(TestSettings(), 1);
   auto submit_burst = [&](uint64_t first_customer_id) {
     std::vector<uint32_t> request_ids;
@@ -676,9 +683,9 @@
   EXPECT_GT(request_ids.size(), first_burst_size);
 }
 
-// What counts of a stream is when its first byte came: from then on its backend is free, no other copy is of
-// use and nothing of it is tried again.
-TEST(IdempotencyRules, AStreamCountsByItsFirstByte) {
+// Once the first byte of a streamed response has arrived, its backend counts as free, other attempts of the
+// request are cancelled and it is not retried; the duration of the stream does not count as latency.
+TEST(IdempotencyRules, StreamedResponseIsJudgedByItsFirstByte) {
   Settings settings = TestSettings();
   settings.hedging_allowed = true;
   BalancerHarness harness(settings, 1);
@@ -687,7 +694,7 @@
   harness.actions.clear();
   harness.now += 2;
   harness.balancer.OnTimer(harness.now, request_id, &harness.actions);
-  ASSERT_TRUE(harness.AttemptSent()) << "a copy, for its backend says nothing";
+  ASSERT_TRUE(harness.AttemptSent()) << "a hedged attempt, since the backend is silent";
   harness.now += 0.1;
   harness.actions.clear();
   harness.balancer.OnResponseStarted(harness.now, request_id, 1, &harness.actions);
@@ -698,15 +705,15 @@
   harness.now += 200;
   harness.actions.clear();
   harness.balancer.OnTimer(harness.now, request_id, &harness.actions);
-  EXPECT_TRUE(harness.actions.empty()) << "no deadline ends it";
+  EXPECT_TRUE(harness.actions.empty()) << "the deadline does not end a started response";
   harness.EndAttempt(request_id, 50, AttemptResult::kOk, 1);
   EXPECT_TRUE(harness.actions.empty());
   int admitted = 0;
   for (uint64_t i = 0; i < 20; ++i) admitted += harness.ServeRequest(1, 70 + i);
-  EXPECT_EQ(admitted, 20) << "a long answer is no sign of a queue";
+  EXPECT_EQ(admitted, 20) << "a long response does not indicate a queue";
 }
 
-TEST(IdempotencyRules, ADiscardedBodyIsNotSentAgain) {
+TEST(IdempotencyRules, RequestWithADiscardedBodyIsNotRetried) {
   BalancerHarness harness(TestSettings());
   uint32_t request_id = harness.SubmitRequest(1, 0);
   ASSERT_TRUE(harness.AttemptSent());
@@ -718,10 +725,10 @@
   harness.actions.clear();
   harness.balancer.OnAttemptOutcome(harness.now, outcome, &harness.actions);
   EXPECT_FALSE(harness.AttemptSent());
-  EXPECT_NE(harness.FindAction(ActionKind::kReject), nullptr) << "at once";
+  EXPECT_NE(harness.FindAction(ActionKind::kReject), nullptr) << "rejected at once";
 }
 
-TEST(IdempotencyRules, IdempotentIsRetriedAfterAnError) {
+TEST(IdempotencyRules, IdempotentRequestIsRetriedElsewhereAfterAnError) {
   BalancerHarness harness(TestSettings());
   uint32_t request_id = harness.SubmitRequest();
   uint32_t backend_id = harness.FindAction(ActionKind::kSendAttempt)->backend_id;
@@ -730,7 +737,7 @@
   EXPECT_NE(harness.FindAction(ActionKind::kSendAttempt)->backend_id, backend_id);
 }
 
-TEST(IdempotencyRules, WithinWindowStaysInItsCellAndWindowAndFails) {
+TEST(IdempotencyRules, RequestWithAKeyIsRetriedInItsCellWithinItsWindowAndThenFails) {
   BalancerHarness harness(TestSettings());
   uint32_t request_id = harness.SubmitRequest(1, 1, 1.45);
   uint32_t backend_id = harness.FindAction(ActionKind::kSendAttempt)->backend_id;
@@ -738,26 +745,26 @@
   ASSERT_TRUE(harness.AttemptSent());
   uint32_t next_backend_id = harness.FindAction(ActionKind::kSendAttempt)->backend_id;
   EXPECT_EQ((next_backend_id - 50) / 2, (backend_id - 50) / 2);
-  harness.now += 1.25;  // past the window
+  harness.now += 1.25;  // after the window of 1.2 s
   harness.EndAttempt(request_id, next_backend_id, AttemptResult::kError, 1);
   EXPECT_FALSE(harness.AttemptSent());
   EXPECT_NE(harness.FindAction(ActionKind::kFail), nullptr);
   EXPECT_EQ(harness.FindAction(ActionKind::kReject), nullptr);
 }
 
-TEST(IdempotencyRules, NonIdempotentIsNeitherRetriedNorRejectedOnceItMayHaveRun) {
+TEST(IdempotencyRules, NonIdempotentRequestIsNeitherRetriedNorRejectedOnceItMayHaveRun) {
   BalancerHarness harness(TestSettings());
   uint32_t request_id = harness.SubmitRequest(1, 2);
   harness.EndAttempt(request_id, harness.FindAction(ActionKind::kSendAttempt)->backend_id,
                      AttemptResult::kOverloaded);
-  ASSERT_TRUE(harness.AttemptSent());  // proved not to have run
+  ASSERT_TRUE(harness.AttemptSent());  // the first attempt has certainly not run
   harness.EndAttempt(request_id, harness.FindAction(ActionKind::kSendAttempt)->backend_id,
                      AttemptResult::kReset, 1);
   EXPECT_FALSE(harness.AttemptSent());
   EXPECT_NE(harness.FindAction(ActionKind::kFail), nullptr);
 }
 
-TEST(IdempotencyRules, MaxAttemptsHolds) {
+TEST(IdempotencyRules, NoMoreThanMaxAttemptsAreSent) {
   Settings settings = TestSettings();
   settings.max_attempts = 2;
   BalancerHarness harness(settings);
@@ -771,7 +778,7 @@
   EXPECT_NE(harness.FindAction(ActionKind::kReject), nullptr);
 }
 
-TEST(Backends, NothingGoesToADrainingOrRemovedOne) {
+TEST(Backends, DrainingOrRemovedOneGetsNoAttempts) {
   BalancerHarness harness(TestSettings(), 2);
   Endpoint endpoint;
   endpoint.id = 50;
@@ -790,16 +797,16 @@
   EXPECT_NE(harness.FindAction(ActionKind::kReject), nullptr);
 }
 
-TEST(Backends, NothingGoesToOneThatIsOfflineWhateverTheListSays) {
+TEST(Backends, OfflineOneGetsNoAttemptsEvenIfListedAsReady) {
   BalancerHarness harness(TestSettings(), 1);
   uint32_t request_id = harness.SubmitRequest(1, 0);
   ASSERT_TRUE(harness.AttemptSent());
   harness.balancer.OnMaintenance(harness.now, 50, true, &harness.actions);
   EXPECT_EQ(harness.balancer.UnavailableBackends(harness.now), 1);
   harness.EndAttempt(request_id, 50, AttemptResult::kError);
-  EXPECT_FALSE(harness.AttemptSent()) << "no further attempt either";
+  EXPECT_FALSE(harness.AttemptSent()) << "no retry at the offline backend";
   EXPECT_FALSE(harness.ServeRequest());
-  EXPECT_NE(harness.FindAction(ActionKind::kReject), nullptr) << "at once";
+  EXPECT_NE(harness.FindAction(ActionKind::kReject), nullptr) << "rejected at once";
   Endpoint endpoint;
   endpoint.id = 50;
   harness.balancer.OnEndpointList(harness.now, EndpointListKind::kSnapshot, {}, &harness.actions);
@@ -811,10 +818,10 @@
   for (int i = 0; i < 50; ++i, harness.now += 0.1)
     admitted += harness.ServeRequest(1, 100 + static_cast<uint64_t>(i));
   EXPECT_GT(admitted, 0);
-  EXPECT_LT(admitted, 50) << "it is met as cold";
+  EXPECT_LT(admitted, 50) << "it is in slow start";
 }
 
-TEST(Backends, SlowStartHasABudget) {
+TEST(Backends, SlowStartLimitsTheWorkSent) {
   BalancerHarness harness(TestSettings(), 1);
   Endpoint endpoint;
   endpoint.id = 50;
@@ -823,15 +830,16 @@
   double admitted_work_s = 0;
   for (int i = 0; i < 500; ++i) {
     harness.now = 100 + i * 0.002;
-    admitted_work_s += harness.ServeRequest(1, static_cast<uint64_t>(100 + i))
-                           ? 0.15
-                           : 0;  // a quarter of the aim, until learned
+    // 0.15 s is the estimated service time: a quarter of the objective.
+    admitted_work_s += harness.ServeRequest(1, static_cast<uint64_t>(100 + i)) ? 0.15 : 0;
   }
   EXPECT_GT(admitted_work_s, 0);
-  EXPECT_LE(admitted_work_s, 2 * 0.27 * 1.0 / 3 + 0.15);  // a third of what one core may be sent in a second
+  // A third of what one core may be sent in a second, and one request.
+  EXPECT_LE(admitted_work_s, 2 * 0.27 * 1.0 / 3 + 0.15);
 }
 
-// One attempt at a time, each answered after `took`; how many were let in over ten seconds.
+// Sends requests one after the other to backend 50, which responds after `response_time_s`; returns how many
+// were admitted in ten seconds.
 int SteadyThroughput(BalancerHarness* harness, double response_time_s) {
   int admitted = 0;
   double end_s = harness->now + 10;
@@ -848,12 +856,12 @@
   return admitted;
 }
 
-TEST(Backends, SlowStartOfABusyFleetIsAFractionOfTheWarmLoad) {
+TEST(Backends, SlowStartInABusyFleetGetsAFractionOfTheWarmLoad) {
   BalancerHarness harness(TestSettings(), 4);
-  std::vector<std::pair<uint32_t, uint32_t>> sent_requests;  // request and backend, answered 100 ms later
+  std::vector<std::pair<uint32_t, uint32_t>> sent_requests;  // request and backend; responds after 100 ms
   int cold_attempts = 0, sent_attempts = 0;
   for (int i = 0; i < 600; ++i) {
-    harness.now = 100 + i * 0.01;  // each warm one does two to three and a third of these at a time
+    harness.now = 100 + i * 0.01;  // each warm backend serves 2 to 3.3 of these requests at a time
     if (i == 300) {
       Endpoint endpoint;
       endpoint.id = 50;
@@ -873,19 +881,19 @@
     cold_attempts += send_action->backend_id == 50;
   }
   EXPECT_GT(sent_attempts, 200);
-  EXPECT_GT(cold_attempts,
-            300 * 0.01 * 0.8 / 3 * 0.3 / 0.1 + 4);  // more than the one-core bound gives in three seconds
-  EXPECT_LT(cold_attempts, 300 / 4 * 0.4);          // and no more than its fraction of an even part
+  // More than the one-core budget allows in three seconds, and at most the fraction of an even part.
+  EXPECT_GT(cold_attempts, 300 * 0.01 * 0.8 / 3 * 0.3 / 0.1 + 4);
+  EXPECT_LT(cold_attempts, 300 / 4 * 0.4);
 }
 
-TEST(Backends, ASlowOneWithoutAQueueKeepsOneAttempt) {
+TEST(Backends, SlowOneWithoutAQueueStillGetsOneAttemptAtATime) {
   BalancerHarness harness(TestSettings(), 1);
-  EXPECT_GE(SteadyThroughput(&harness, 0.2), 40);  // a third of the aim is its work, no queue
+  EXPECT_GE(SteadyThroughput(&harness, 0.2), 40);  // a third of the objective is service time, not a queue
   BalancerHarness slower_harness(TestSettings(), 1);
-  EXPECT_LE(SteadyThroughput(&slower_harness, 0.9), 11);  // far past the aim: one at a time
+  EXPECT_LE(SteadyThroughput(&slower_harness, 0.9), 11);  // far beyond the objective: one attempt at a time
 }
 
-TEST(Backends, OneThatRefusesSomeConnectionsIsNotInSlowStart) {
+TEST(Backends, OneThatRefusesOnlySomeConnectionsIsNotInSlowStart) {
   BalancerHarness harness(TestSettings(), 1);
   for (int i = 0; i < 4; ++i) {
     uint32_t request_id = harness.SubmitRequest(1, 0, 1.4, 100 + static_cast<uint64_t>(i));
@@ -896,7 +904,7 @@
   EXPECT_GE(SteadyThroughput(&harness, 0.05), 150);
 }
 
-TEST(Backends, OneThatWasDeadIsInSlowStart) {
+TEST(Backends, OneThatReturnsAfterAnOutageIsInSlowStart) {
   BalancerHarness harness(TestSettings(), 1);
   for (int i = 0; i < 12; ++i) {
     uint32_t request_id = harness.SubmitRequest(1, 0, 1.4, 100 + static_cast<uint64_t>(i));
@@ -906,7 +914,7 @@
   EXPECT_LE(SteadyThroughput(&harness, 0.05), 60);
 }
 
-TEST(Backends, MostOfTheFleetIsNeverEjected) {
+TEST(Backends, AreNotEjectedIfTooManyOfThemFail) {
   BalancerHarness harness(TestSettings(), 8);
   int rejected = 0;
   for (int i = 0; i < 60; ++i) {
@@ -917,10 +925,10 @@
     if (send_action != nullptr && send_action->backend_id < 54)
       harness.EndAttempt(request_id, send_action->backend_id, AttemptResult::kError);  // four of eight fail
   }
-  EXPECT_EQ(rejected, 0);  // the sound ones are full by then
+  EXPECT_EQ(rejected, 0);  // without the failing backends the sound ones would be full
 }
 
-TEST(Backends, OneThatFailsIsEjected) {
+TEST(Backends, FailingOneIsEjected) {
   BalancerHarness harness(TestSettings(), 3);
   int failed_attempts = 0;
   for (int i = 0; i < 60; ++i) {
@@ -934,7 +942,7 @@
   EXPECT_LE(failed_attempts, 4);
 }
 
-TEST(Attempts, TheLastResponseComesBeforeTheClientsDeadline) {
+TEST(Attempts, RequestFailsShortlyBeforeTheClientsDeadline) {
   BalancerHarness harness(TestSettings());
   uint32_t request_id = harness.SubmitRequest(1, 2, 0.2);
   const Action* timer = harness.FindAction(ActionKind::kStartTimer);
@@ -948,19 +956,20 @@
   ASSERT_NE(harness.FindAction(ActionKind::kFail), nullptr);
   EXPECT_EQ(harness.FindAction(ActionKind::kFail)->request_id, request_id);
   harness.actions.clear();
-  harness.balancer.OnTimer(harness.now, tag, &harness.actions);  // no longer wanted
+  harness.balancer.OnTimer(harness.now, tag, &harness.actions);  // the request has already ended
   EXPECT_TRUE(harness.actions.empty());
 }
 
-// Half of the backends hang, and requests that can't be sent again are lost on them: that is their fault. The
-// others are not busy because of it.
-TEST(Overload, ADeadlineOnABackendThatHangsIsNoSignOfAQueue) {
+// Half of the backends hang, and non-idempotent requests that were sent to them miss their deadlines. These
+// count as failures of the hanging backends; if they counted as overload, requests to the healthy ones would
+// be shed.
+TEST(Overload, DeadlineMissedAtAHangingBackendDoesNotCountAsOverload) {
   for (bool cancellation_allowed : {false, true}) {
     Settings settings = TestSettings();
     settings.counter_enabled = false;
     settings.cancellation_allowed = cancellation_allowed;
     BalancerHarness harness(settings);
-    std::map<uint32_t, std::pair<double, uint32_t>> hanging;  // requests, their deadlines and backends
+    std::map<uint32_t, std::pair<double, uint32_t>> hanging;  // by request: deadline and backend
     int rejected = 0;
     for (int i = 0; i < 200; ++i) {
       harness.now += 0.5;
@@ -987,11 +996,11 @@
         harness.EndAttempt(request_id, backend_id, AttemptResult::kOk);
       }
     }
-    EXPECT_EQ(rejected, 0) << "cancel " << cancellation_allowed;
+    EXPECT_EQ(rejected, 0) << "cancellation allowed: " << cancellation_allowed;
   }
 }
 
-TEST(Attempts, ASilentBackendIsHedged) {
+TEST(Attempts, AttemptAtASilentBackendIsCancelledAndRetriedElsewhere) {
   BalancerHarness harness(TestSettings());
   uint32_t request_id = harness.SubmitRequest(1, 0, 1.4);
   uint32_t backend_id = harness.FindAction(ActionKind::kSendAttempt)->backend_id;
@@ -1005,8 +1014,9 @@
   EXPECT_NE(harness.FindAction(ActionKind::kSendAttempt)->backend_id, backend_id);
 }
 
-// A connection may fall silent while its backend answers on others: what it has answered was sent later.
-TEST(Attempts, OneOnASilentConnectionOfALiveBackendIsHedged) {
+// A connection may go silent while its backend responds on others. This shows by responses to attempts that
+// were sent later.
+TEST(Attempts, AttemptOnASilentConnectionOfALiveBackendIsHedgedOrCancelled) {
   for (bool hedging : {false, true}) {
     Settings settings = TestSettings();
     settings.hedging_allowed = hedging;
@@ -1020,23 +1030,22 @@
       harness.now += 0.001;
       uint32_t request_id = harness.SubmitRequest(1, 0, 1.4, 1000 + static_cast<uint64_t>(i));
       ASSERT_TRUE(harness.AttemptSent());
-      answered = harness.FindAction(ActionKind::kSendAttempt)->backend_id ==
-                 backend_id;  // the others' stay out, so that it has its turn
+      // Attempts at other backends stay in flight, so that this one is selected again.
+      answered = harness.FindAction(ActionKind::kSendAttempt)->backend_id == backend_id;
       if (answered) harness.EndAttempt(request_id, backend_id, AttemptResult::kOk);
     }
     ASSERT_TRUE(answered);
     harness.now = silence_check_s;
     harness.actions.clear();
     harness.balancer.OnTimer(harness.now, tag, &harness.actions);
-    EXPECT_EQ(harness.AttemptSent(), hedging) << "a copy goes out beside it where that is allowed";
+    EXPECT_EQ(harness.AttemptSent(), hedging) << "a hedged attempt is sent if hedging is allowed";
     EXPECT_EQ(harness.FindAction(ActionKind::kCancelAttempt) != nullptr, !hedging)
-        << "else it is given up first";
+        << "otherwise the attempt is cancelled first";
   }
 }
 
-// ---- many gateways ----
-
-// A customer that comes in through a hundred gateways; tries may be held for the counter.
+// Settings of one of a hundred gateways, whose counter timeout is short enough to queue requests for the
+// counter.
 Settings ManyGatewaySettings() {
   Settings settings = TestSettings();
   settings.gateway_count = 100;
@@ -1044,7 +1053,7 @@
   return settings;
 }
 
-TEST(CounterQueue, ARequestIsCountedFirstAndSentOnTheResponse) {
+TEST(CounterQueue, RequestIsCountedFirstAndSentOnTheCountersResponse) {
   BalancerHarness harness(ManyGatewaySettings());
   harness.SubmitRequest(2, 0, 1.0, 9, 100);
   EXPECT_FALSE(harness.AttemptSent());
@@ -1052,24 +1061,24 @@
   ASSERT_NE(counter_call, nullptr);
   EXPECT_EQ(counter_call->counter_delta, 2);
   harness.now += 0.004;
-  harness.RespondToCounterCall(counter_call->tag, 4);  // others have sent two
+  harness.RespondToCounterCall(counter_call->tag, 4);  // two units are of other gateways
   EXPECT_TRUE(harness.AttemptSent());
 }
 
-TEST(CounterQueue, OneBeyondTheQuotaIsRejectedAndItsUnitsReturned) {
+TEST(CounterQueue, RequestBeyondTheQuotaIsRejectedAndItsUnitsReturned) {
   BalancerHarness harness(ManyGatewaySettings());
   harness.SubmitRequest(2, 0, 1.0, 9, 100);
   const Action* counter_call = harness.FindAction(ActionKind::kCallCounter);
   ASSERT_NE(counter_call, nullptr);
   harness.now += 0.004;
-  harness.RespondToCounterCall(counter_call->tag, 13);  // others have sent a whole burst
+  harness.RespondToCounterCall(counter_call->tag, 13);  // other gateways have used the whole burst
   EXPECT_FALSE(harness.AttemptSent());
   EXPECT_NE(harness.FindAction(ActionKind::kReject), nullptr);
   ASSERT_NE(harness.FindAction(ActionKind::kCallCounter), nullptr);
   EXPECT_EQ(harness.FindAction(ActionKind::kCallCounter)->counter_delta, -2);
 }
 
-TEST(CounterQueue, EachGetsOneEndWhenTheCounterFails) {
+TEST(CounterQueue, RequestIsEitherSentOrRejectedWhenTheCounterFails) {
   for (AttemptResult result :
        {AttemptResult::kTimeout, AttemptResult::kOverloaded, AttemptResult::kConnectFailed}) {
     BalancerHarness harness(ManyGatewaySettings());
@@ -1082,7 +1091,7 @@
   }
 }
 
-TEST(CounterQueue, TheFirstOfAWindowReportsTheDebtOfTheLast) {
+TEST(CounterQueue, FirstReportInAWindowCarriesTheDebtOfThePreviousOne) {
   Settings settings = ManyGatewaySettings();
   BalancerHarness harness(settings, 4, 100.5);  // early in a window of 5 s
   harness.SubmitRequest(2, 0, 1.0, 9, 100);
@@ -1090,23 +1099,24 @@
   ASSERT_NE(counter_call, nullptr);
   uint64_t counter_name = counter_call->tag;
   harness.now += 0.004;
-  harness.RespondToCounterCall(counter_name, 2);  // the first
+  harness.RespondToCounterCall(counter_name, 2);  // the first report in this window
   EXPECT_FALSE(harness.AttemptSent());
   const Action* previous_window_call = harness.FindAction(ActionKind::kCallCounter);
   ASSERT_NE(previous_window_call, nullptr);
   EXPECT_NE(previous_window_call->tag, counter_name);
   EXPECT_EQ(previous_window_call->counter_delta, 0);
   harness.now += 0.004;
-  harness.RespondToCounterCall(previous_window_call->tag,
-                               20);  // a burst and all that the rate gave were used there
+  // A burst and all units of the rate were used in the previous window.
+  harness.RespondToCounterCall(previous_window_call->tag, 20);
   EXPECT_FALSE(harness.AttemptSent());
   EXPECT_NE(harness.FindAction(ActionKind::kReject), nullptr);
   ASSERT_NE(harness.FindAction(ActionKind::kCallCounter), nullptr);
   EXPECT_EQ(harness.FindAction(ActionKind::kCallCounter)->tag, counter_name);
-  EXPECT_EQ(harness.FindAction(ActionKind::kCallCounter)->counter_delta, 8);  // ten owed, two not sent
+  // A debt of ten, minus two that were not sent.
+  EXPECT_EQ(harness.FindAction(ActionKind::kCallCounter)->counter_delta, 8);
 }
 
-TEST(CounterQueue, OneLeftByItsClientIsNotSent) {
+TEST(CounterQueue, RequestWhoseClientHasGoneIsNotSent) {
   BalancerHarness harness(ManyGatewaySettings());
   uint32_t request_id = harness.SubmitRequest(2, 0, 1.0, 9, 100);
   const Action* counter_call = harness.FindAction(ActionKind::kCallCounter);
@@ -1119,13 +1129,13 @@
   EXPECT_EQ(harness.FindAction(ActionKind::kReject), nullptr);
 }
 
-TEST(CounterQueue, OneWithLittleTimeIsDecidedAtOnce) {
+TEST(CounterQueue, RequestWithLittleTimeLeftIsNotQueued) {
   BalancerHarness harness(ManyGatewaySettings());
   harness.SubmitRequest(2, 0, 0.1, 9, 100);
   EXPECT_NE(harness.AttemptSent(), harness.FindAction(ActionKind::kReject) != nullptr);
 }
 
-TEST(CounterQueue, AtACapTheResponseDecides) {
+TEST(CounterQueue, CountersResponseDecidesUnderAConcurrencyCap) {
   Settings settings = ManyGatewaySettings();
   settings.plans[0].rate_units_per_s = settings.plans[0].burst_units = 0;
   settings.plans[0].max_in_flight = 2;
@@ -1141,14 +1151,15 @@
   }
 }
 
-// A change of the attempts out that comes while calls are spaced out is told when the next may go.
-TEST(ConcurrencyCap, AChangeThatHadToWaitIsReportedLater) {
+// A change of the attempts in flight that occurs while congestion control delays calls is reported as soon as
+// the next call is allowed.
+TEST(ConcurrencyCap, DelayedChangeOfAttemptsIsReportedByTimer) {
   Settings settings = TestSettings();
   settings.plans[0].rate_units_per_s = settings.plans[0].burst_units = 0;
   settings.plans[0].max_in_flight = 20;
   BalancerHarness harness(settings);
   std::vector<std::pair<uint32_t, uint32_t>> in_flight;
-  double counter_total = 0;  // at the counter
+  double counter_total = 0;  // of attempts
   auto respond_to_calls = [&](bool slow) {
     for (bool more = true; more;) {
       more = false;
@@ -1156,7 +1167,7 @@
       pending.swap(harness.actions);
       for (const Action& action : pending) {
         if (action.kind != ActionKind::kCallCounter) continue;
-        harness.now += slow ? 0.29 : 0;  // near the time-out: the calls after it are spaced out
+        harness.now += slow ? 0.29 : 0;  // near the timeout, so that later calls are delayed
         counter_total += action.counter_delta;
         harness.RespondToCounterCall(action.tag, counter_total);
         more = true;
@@ -1181,7 +1192,7 @@
     }
     respond_to_calls(false);
   }
-  ASSERT_GT(wait_s, 0) << "the last end came too soon after the call before it";
+  ASSERT_GT(wait_s, 0) << "the last change comes too soon after a call and has to wait";
   for (int i = 0; i < 20 && wait_s > 0; ++i) {
     harness.now += wait_s;
     wait_s = -1;
@@ -1191,12 +1202,12 @@
       wait_s = next_timer->duration_s;
     respond_to_calls(false);
   }
-  EXPECT_EQ(counter_total, 0) << "nothing is out";
+  EXPECT_EQ(counter_total, 0) << "no attempt is in flight";
 }
 
-// Where a plan has a rate and a cap, a try that is held asks about the cap too: what was told of others'
-// attempts long ago does not refuse for ever.
-TEST(CounterQueue, UnderARateACapInDoubtIsAskedAboutToo) {
+// If a plan has a rate and a cap, a queued request reads the total of the cap too: an old number of other
+// gateways' attempts must not lead to rejections forever.
+TEST(CounterQueue, CapOfAPlanWithARateIsReadAgainWhenItMayBeReached) {
   Settings settings = TestSettings();
   settings.counter_timeout_s = 0.03;
   settings.plans[0].max_in_flight = 2;
@@ -1205,15 +1216,15 @@
     BalancerHarness harness(settings);
     uint32_t first_request_id = harness.SubmitRequest(1, 0, 1.0, 9, 2);
     double reported_attempts = 0;
-    auto respond_to_calls = [&](double total_elsewhere) {  // to each call that is out, once
+    auto respond_to_calls = [&](double total_elsewhere) {  // to each call in flight, once
       Actions pending_calls;
       for (const Action& call : harness.actions) {
         if (call.kind == ActionKind::kCallCounter) pending_calls.push_back(call);
       }
       Actions new_actions;
       for (const Action& call : pending_calls) {
-        bool counts_units =
-            call.duration_s > 10;  // a window's name lives for three of them, an epoch's for 8 s
+        // A window's counter expires after three windows, an epoch's after 8 s.
+        bool counts_units = call.duration_s > 10;
         if (!counts_units) reported_attempts += call.counter_delta;
         harness.RespondToCounterCall(
             call.tag, counts_units ? std::max(call.counter_delta, 0.0) : total_elsewhere + reported_attempts);
@@ -1236,7 +1247,7 @@
   }
 }
 
-TEST(CounterQueue, ACongestedCounterIsCalledLess) {
+TEST(CounterQueue, CongestedCounterIsCalledLess) {
   int call_counts[2] = {0, 0};
   for (bool congested : {false, true}) {
     BalancerHarness harness(ManyGatewaySettings());
@@ -1248,8 +1259,8 @@
         ++call_counts[congested];
         uint64_t counter_name = counter_call->tag;
         harness.now += congested ? 0.028 : 0.004;
-        harness.RespondToCounterCall(counter_name,
-                                     i % 2 == 0 ? 1 : 40);  // every other one is beyond its quota
+        // Every second customer is beyond its quota.
+        harness.RespondToCounterCall(counter_name, i % 2 == 0 ? 1 : 40);
       }
       if (const Action* send_action = harness.FindAction(ActionKind::kSendAttempt))
         harness.EndAttempt(request_id, send_action->backend_id, AttemptResult::kOk);
@@ -1259,7 +1270,7 @@
   EXPECT_LT(call_counts[1], 200);
 }
 
-TEST(Fleet, AFreshBackendIsNotSentOneRequestByEachGateway) {
+TEST(Fleet, NewBackendIsNotSentARequestByEveryGatewayAtOnce) {
   Settings settings = TestSettings();
   settings.gateway_count = 300;
   settings.counter_enabled = false;
@@ -1283,9 +1294,9 @@
   EXPECT_LT(sent, 10);
 }
 
-// A gateway of many has its few quick backends, and the part of a cold one that falls to it is less than a
-// request at a time. What all of them may send a cold one must reach it all the same.
-TEST(Fleet, SlowStartGetsWhatTheFleetMaySend) {
+// Each of many gateways uses only a few fast backends, and its part of a cold backend's budget is less than
+// one request at a time. The cold backend must still get what the whole fleet may send it.
+TEST(Fleet, BackendInSlowStartGetsTheBudgetOfAllGateways) {
   Settings settings = TestSettings();
   settings.gateway_count = 40;
   settings.counter_enabled = false;
@@ -1297,7 +1308,7 @@
     for (uint32_t backend_id = 50; backend_id < 56; ++backend_id)
       endpoints.push_back({.id = backend_id, .weight = 1});
     balancer.OnEndpointList(100, EndpointListKind::kCached, endpoints, &actions);
-    for (uint32_t i = 0; i < 100; ++i) {  // five a second; each is answered before the next one
+    for (uint32_t i = 0; i < 100; ++i) {  // five per second; each ends before the next one
       double now = 100 + i * 0.2;
       if (i == 50) {
         Endpoint restarted{.id = 50, .weight = 1, .started_s = now};
@@ -1325,20 +1336,21 @@
       balancer.OnAttemptOutcome(now + (backend_id > 52 ? 0.05 : 0.15), outcome, &actions);
     }
   }
-  double attempts_per_warm_backend =
-      warm_attempts / 5.0;  // to a warm one; on average over these 10 s a cold one is worth half of that
+  // On average over these 10 s, a cold backend has half the capacity of a warm one.
+  double attempts_per_warm_backend = warm_attempts / 5.0;
   EXPECT_GT(cold_attempts, attempts_per_warm_backend * 0.2);
   EXPECT_LT(cold_attempts, attempts_per_warm_backend * 0.6);
 }
 
-// A gateway of many sees a backend every few seconds: an answer tells it more than one of many would.
-TEST(Fleet, ASlowedBackendIsAvoidedAfterFewRareResponses) {
+// One of many gateways gets a response from a given backend only every few seconds, so a single one has more
+// weight than if responses were frequent.
+TEST(Fleet, BackendThatBecomesSlowIsAvoidedAfterAFewRareResponses) {
   Settings settings = TestSettings();
   settings.counter_enabled = false;
   BalancerHarness harness(settings, 2);
   int attempts_while_fast = 0, attempts_while_slow = 0;
   uint32_t preferred_backend = 0;
-  for (int i = 0; i < 200; ++i) {  // one in 3 s
+  for (int i = 0; i < 200; ++i) {  // one request in 3 s
     harness.now += 3;
     uint32_t request_id = harness.SubmitRequest(1, 0, 1.4, 1000 + static_cast<uint64_t>(i));
     ASSERT_TRUE(harness.AttemptSent());
@@ -1352,11 +1364,11 @@
   EXPECT_LE(attempts_while_slow, 2);
 }
 
-// Refused because the counter has not told: the store may have room, so the client is asked back within its
-// aim.
-TEST(Fleet, OnlyCustomersBeyondAKnownBucketGetTheLongestRetryAfter) {
+// A request that is rejected before the counter has been read may find tokens later, so its client is told to
+// return within the latency objective.
+TEST(Fleet, OnlyCustomersOverAKnownBucketGetTheMaximumRetryAfter) {
   BalancerHarness harness(ManyGatewaySettings());
-  ASSERT_EQ(harness.SubmitRequest(1, 0, 0.1, 9, 100), 1u);  // too little time left to be held
+  ASSERT_EQ(harness.SubmitRequest(1, 0, 0.1, 9, 100), 1u);  // too little time left to be queued
   ASSERT_TRUE(harness.AttemptSent());
   const Action* counter_call = harness.FindAction(ActionKind::kCallCounter);
   ASSERT_NE(counter_call, nullptr);
@@ -1365,7 +1377,7 @@
   ASSERT_NE(harness.FindAction(ActionKind::kReject), nullptr);
   EXPECT_GT(harness.FindAction(ActionKind::kReject)->duration_s, 0);
   EXPECT_LT(harness.FindAction(ActionKind::kReject)->duration_s, 0.6);
-  harness.RespondToCounterCall(counter_name, 40);  // all of the store and more
+  harness.RespondToCounterCall(counter_name, 40);  // more than the burst
   harness.SubmitRequest(1, 0, 0.1, 9, 100);
   ASSERT_NE(harness.FindAction(ActionKind::kReject), nullptr);
   EXPECT_EQ(harness.FindAction(ActionKind::kReject)->duration_s, 2);
@@ -1377,7 +1389,7 @@
   int admitted[2] = {0, 0};
   for (bool slow : {false, true}) {
     BalancerHarness harness(settings, 100);
-    for (int i = 0; i < 200; ++i) {  // one at a time, seldom the same backend twice
+    for (int i = 0; i < 200; ++i) {  // one request at a time, seldom the same backend twice
       uint32_t request_id = harness.SubmitRequest(1, 0, 1.4, 1000 + static_cast<uint64_t>(i));
       const Action* send_action = harness.FindAction(ActionKind::kSendAttempt);
       uint32_t backend_id = send_action != nullptr ? send_action->backend_id : 0;
@@ -1390,12 +1402,12 @@
   EXPECT_LT(admitted[1], 130);
 }
 
-// A gateway that lets nothing in hears no answers, so what lowers the share can't be what raises it again:
-// with slow answers before, hardly any class is shut out for seconds on end.
-TEST(Fleet, TheAdmissionRatioRecoversWithoutResponses) {
+// A gateway that admits nothing gets no responses that could raise the admission ratio again. After slow
+// responses, even a class of little value must not be shut out for seconds at more than a few gateways.
+TEST(Fleet, AdmissionRatioRecoversWithoutResponses) {
   Settings settings = TestSettings();
   settings.counter_enabled = false;
-  settings.classes[0].priority_weight = 0.01;  // beside the others next to nothing
+  settings.classes[0].priority_weight = 0.01;  // almost nothing compared with the other classes
   int starved_gateways = 0;
   for (uint64_t gateway = 0; gateway < 20; ++gateway) {
     BalancerHarness harness(settings, 100, 100 + static_cast<double>(gateway));
@@ -1418,14 +1430,14 @@
   EXPECT_LE(starved_gateways, 2);
 }
 
-TEST(Input, InvalidInputFromTheCounterOrTheListIsHarmless) {
+TEST(Input, InvalidCounterTotalsAndEmptyEndpointListsAreHarmless) {
   Settings settings = ManyGatewaySettings();
   settings.gateway_count = 3;
   BalancerHarness harness(settings);
   for (double total :
        {-5.0, std::numeric_limits<double>::quiet_NaN(), std::numeric_limits<double>::infinity()}) {
-    harness.RespondToCounterCall(12345, total);  // a name nobody asked for
-    harness.SubmitRequest(1, 0, 1.0, 9, 1000);   // more entries than gateways
+    harness.RespondToCounterCall(12345, total);  // a counter that was not called
+    harness.SubmitRequest(1, 0, 1.0, 9, 1000);   // more entry gateways than gateways
     const Action* counter_call = harness.FindAction(ActionKind::kCallCounter);
     ASSERT_NE(counter_call, nullptr);
     harness.now += 6;
