--- a/src/config/check.cpp
+++ b/src/config/check.cpp
@@ -6,7 +6,7 @@
 
 using nlohmann::json;
 
-std::string PlainName(std::string_view name) {
+std::string SanitizeName(std::string_view name) {
   std::string plain(name);
   for (char& c : plain) {
     if (c == ' ' || c == ',' || c == '\n' || c == '\r') c = '_';
--- a/src/config/check.h
+++ b/src/config/check.h
@@ -22,7 +22,7 @@
 };
 
 // Replaces spaces, commas and line ends in a name by '_', as the settings' flat path=value form does.
-std::string PlainName(std::string_view name);
+std::string SanitizeName(std::string_view name);
 
 // @param initial_settings the settings that the process started with, or null at a start. Their fields must
 //   still be there and have the same types.
--- a/src/config/check_initial_endpoints.cpp
+++ b/src/config/check_initial_endpoints.cpp
@@ -16,7 +16,7 @@
   auto list = settings.find(key);
   if (list == settings.end() || !list->is_array()) return names;
   for (const json& name : *list) {
-    if (name.is_string()) names.insert(PlainName(name.get_ref<const std::string&>()));
+    if (name.is_string()) names.insert(SanitizeName(name.get_ref<const std::string&>()));
   }
   return names;
 }
@@ -87,7 +87,7 @@
   void CheckNamed(const json& endpoint, const std::string& at, const char* key,
                   const std::set<std::string>& names) {
     const std::string* name = Text(endpoint, at, key, Presence::kOptional);
-    if (name == nullptr || names.count(PlainName(*name)) != 0) return;
+    if (name == nullptr || names.count(SanitizeName(*name)) != 0) return;
     reporter_->Warning(ChildPath(at, key), "is not named in the settings: " + Printable(*name));
   }
 
--- a/src/config/document.cpp
+++ b/src/config/document.cpp
@@ -109,11 +109,11 @@
   }
 }
 
-std::string OneLine(const std::vector<Fault>& faults) {
+std::string FormatFaults(const std::vector<Fault>& faults) {
   std::string line;
   for (const Fault& fault : faults) {
     if (!line.empty()) line += "; ";
-    line += Printable(fault.at, 200) + (fault.at.empty() ? "" : ": ") + fault.why;
+    line += Printable(fault.path, 200) + (fault.path.empty() ? "" : ": ") + fault.message;
     if (line.size() > kMaxLineBytes) return line.substr(0, kMaxLineBytes) + "...";
   }
   return line;
@@ -169,7 +169,7 @@
     }
     out.faults = std::move(builder.faults);
     if (!whole && out.faults.empty()) AddFault(&out.faults, "", "no JSON that could be read to its end");
-    for (Fault& fault : overflows) AddFault(&out.faults, std::move(fault.at), std::move(fault.why));
+    for (Fault& fault : overflows) AddFault(&out.faults, std::move(fault.path), std::move(fault.message));
     if (whole) out.value = std::move(builder.root);
     if (whole && !out.value.is_object()) {
       out.value = nullptr;
--- a/src/config/document.h
+++ b/src/config/document.h
@@ -10,10 +10,10 @@
 
 namespace lemonchute::config {
 
-// `at` is a JSON Pointer; empty for the whole document.
+// `path` is a JSON Pointer; empty for the whole document.
 struct Fault {
-  std::string at;
-  std::string why;
+  std::string path;
+  std::string message;
   bool operator==(const Fault&) const = default;
 };
 
@@ -22,7 +22,7 @@
 void AddFault(std::vector<Fault>* faults, std::string at, std::string why);
 
 // "/settings/zones/0: is not a text; ...", bounded in length.
-std::string OneLine(const std::vector<Fault>& faults);
+std::string FormatFaults(const std::vector<Fault>& faults);
 
 // The JSON Pointer of a child of `at`, escaped as RFC 6901 demands.
 std::string ChildPath(const std::string& at, std::string_view key);
--- a/src/config/field_checks.cpp
+++ b/src/config/field_checks.cpp
@@ -70,7 +70,7 @@
 
 bool FaultReporter::HasFaultAt(const std::string& at) const {
   return std::any_of(findings_->faults.begin(), findings_->faults.end(),
-                     [&](const auto& fault) { return fault.at == at; });
+                     [&](const auto& fault) { return fault.path == at; });
 }
 
 const char* TypeName(const json& value) {
@@ -137,7 +137,7 @@
   if (!name.is_string()) return reporter->WrongType(at, "a text", name);
   const auto& text = name.get_ref<const std::string&>();
   if (text.empty()) return reporter->Doubt(at, "is empty");
-  if (!seen->insert(PlainName(text)).second) reporter->Doubt(at, "occurs twice: " + Printable(text));
+  if (!seen->insert(SanitizeName(text)).second) reporter->Doubt(at, "occurs twice: " + Printable(text));
 }
 
 }  // namespace lemonchute::config
--- a/src/config/plan.h
+++ b/src/config/plan.h
@@ -17,9 +17,9 @@
 const char* ToString(Activation activation);
 
 struct Change {
-  std::string at;  // JSON Pointer into the candidate, or into the running document for what was removed
+  std::string path;  // JSON Pointer into the candidate, or into the running document for what was removed
   Activation activation = Activation::kImmediate;
-  std::string what;  // "added", "removed" or "changed"
+  std::string kind;  // "added", "removed" or "changed"
   bool operator==(const Change&) const = default;
 };
 
--- a/src/config/revision_state.h
+++ b/src/config/revision_state.h
@@ -17,10 +17,10 @@
 
 // One moment on two clocks, in seconds: wall-clock time, and a monotonic clock that all processes of a
 // machine share until it reboots.
-struct Times {
+struct Timestamp {
   double system_s = 0;
   double steady_s = 0;
-  bool operator==(const Times&) const = default;
+  bool operator==(const Timestamp&) const = default;
 };
 
 enum class UpdateSource { kFile, kOperatorUpdate, kRollback, kAutomaticRollback };
@@ -42,7 +42,7 @@
 // confirmed").
 struct ProvisionalRevision {
   uint64_t number = 0, rollback_target = 0;
-  Times started;
+  Timestamp started;
   double confirm_within_s = 0;
   bool operator==(const ProvisionalRevision&) const = default;
 };
@@ -50,7 +50,7 @@
 struct RejectedUpdate {
   double time_s = 0;  // wall-clock time
   UpdateSource source = UpdateSource::kFile;
-  std::string why;
+  std::string reason;
   bool operator==(const RejectedUpdate&) const = default;
 };
 
--- a/src/config/revisions.cpp
+++ b/src/config/revisions.cpp
@@ -98,7 +98,7 @@
 
 // By the monotonic clock, which changes of the system's time don't affect. A reboot restarts it, and then
 // only the system's time is left.
-double ElapsedS(const ProvisionalRevision& provisional, Times now) {
+double ElapsedS(const ProvisionalRevision& provisional, Timestamp now) {
   double elapsed_s = now.steady_s - provisional.started.steady_s;
   if (elapsed_s < 0) elapsed_s = now.system_s - provisional.started.system_s;
   return std::clamp(elapsed_s, 0.0, provisional.confirm_within_s);
@@ -129,7 +129,7 @@
 
 }  // namespace
 
-State RevisionHistory::StartFromFile(const json& document, Times now) {
+State RevisionHistory::StartFromFile(const json& document, Timestamp now) {
   State state;
   NoteFile(&state, document, AddRevision(&state, document, UpdateSource::kFile, 0, now.system_s));
   state.initial_endpoints = StoredInitialEndpoints(document);
@@ -137,7 +137,7 @@
   return state;
 }
 
-State RevisionHistory::ResumeFromLog(const State& logged, const json& file, Times now, bool file_wins) {
+State RevisionHistory::ResumeFromLog(const State& logged, const json& file, Timestamp now, bool file_wins) {
   if (file.is_null()) return logged;
   State state = logged;
   if (!file_wins && ContentId(file) == logged.file_id) {
@@ -187,7 +187,7 @@
   return found;
 }
 
-void RevisionHistory::SetNextState(const UpdateRequest& request, Candidate candidate, Times now,
+void RevisionHistory::SetNextState(const UpdateRequest& request, Candidate candidate, Timestamp now,
                                    Transition* next) const {
   const Revision& running = state_.Running();
   const bool from_file = request.source == UpdateSource::kFile;
@@ -212,7 +212,8 @@
   TrimHistory(&next->state);
 }
 
-std::variant<Transition, Rejection> RevisionHistory::Propose(const UpdateRequest& request, Times now) const {
+std::variant<Transition, Rejection> RevisionHistory::Propose(const UpdateRequest& request,
+                                                             Timestamp now) const {
   const Revision& running = state_.Running();
   if (request.base_revision && *request.base_revision != state_.running) {
     return Reject(Rejection::kStaleBase, RevisionText(*request.base_revision) + " does not run, but " +
@@ -226,7 +227,7 @@
   }
   Findings found = Check(candidate.document, request.source);
   if (!found.faults.empty()) {
-    return Rejection{Rejection::kInvalid, OneLine(found.faults), std::move(found.faults), {}};
+    return Rejection{Rejection::kInvalid, FormatFaults(found.faults), std::move(found.faults), {}};
   }
   const bool from_file = request.source == UpdateSource::kFile;
   if (!from_file) {
@@ -236,7 +237,7 @@
   next.warnings = std::move(found.warnings);
   next.changes = PlanChanges(running.document, candidate.document);
   for (const Change& change : next.changes) {
-    if (change.activation == Activation::kRestart) next.needs_restart.push_back(change.at);
+    if (change.activation == Activation::kRestart) next.needs_restart.push_back(change.path);
   }
   if (!next.needs_restart.empty() && !from_file) {
     return Rejection{Rejection::kNeedsRestart,
@@ -263,12 +264,12 @@
   return next;
 }
 
-std::optional<double> RevisionHistory::ConfirmationTimeLeftS(Times now) const {
+std::optional<double> RevisionHistory::ConfirmationTimeLeftS(Timestamp now) const {
   if (!state_.provisional) return std::nullopt;
   return state_.provisional->confirm_within_s - ElapsedS(*state_.provisional, now);
 }
 
-std::optional<Transition> RevisionHistory::RollbackIfExpired(Times now) const {
+std::optional<Transition> RevisionHistory::RollbackIfExpired(Timestamp now) const {
   auto left_s = ConfirmationTimeLeftS(now);
   if (!left_s || *left_s > 0) return std::nullopt;
   UpdateRequest request;
@@ -290,7 +291,7 @@
   return next;
 }
 
-void RevisionHistory::RecordRejection(UpdateSource source, std::string why, Times now) {
+void RevisionHistory::RecordRejection(UpdateSource source, std::string why, Timestamp now) {
   if (rejected_updates_.size() >= kMaxRejectedUpdates) rejected_updates_.erase(rejected_updates_.begin());
   rejected_updates_.push_back({now.system_s, source, std::move(why)});
 }
--- a/src/config/revisions.h
+++ b/src/config/revisions.h
@@ -31,7 +31,7 @@
 // Why an update was not applied. Nothing has changed.
 struct Rejection {
   enum Kind { kInvalid, kNeedsRestart, kStaleBase, kRevisionNotFound, kNoChange } kind = kInvalid;
-  std::string why;
+  std::string message;
   std::vector<Fault> faults;
   std::vector<Change> changes;
 };
@@ -48,35 +48,35 @@
 class RevisionHistory {
  public:
   // The first state of a gateway, from a valid file.
-  static State StartFromFile(const nlohmann::json& document, Times now);
+  static State StartFromFile(const nlohmann::json& document, Timestamp now);
 
   // The state of a start with a revision log. The logged state continues where the file is the one that it
   // last applied, or is invalid (null); any other file becomes a further revision.
   // @param file_wins the logged running document can't be used: the file becomes a revision in any case.
-  static State ResumeFromLog(const State& logged, const nlohmann::json& file, Times now,
+  static State ResumeFromLog(const State& logged, const nlohmann::json& file, Timestamp now,
                              bool file_wins = false);
 
   // @param initial_settings the settings that the process started with (see CheckConfig).
   RevisionHistory(State state, nlohmann::json initial_settings);
 
-  std::variant<Transition, Rejection> Propose(const UpdateRequest& request, Times now) const;
+  std::variant<Transition, Rejection> Propose(const UpdateRequest& request, Timestamp now) const;
 
   // Makes the provisional revision permanent.
   std::variant<Transition, Rejection> Confirm(uint64_t number) const;
 
   // The rollback of a provisional revision whose time is over.
   // @return nothing where none is due, or where the target is invalid by now.
-  std::optional<Transition> RollbackIfExpired(Times now) const;
+  std::optional<Transition> RollbackIfExpired(Timestamp now) const;
 
   // @return nothing without a provisional revision.
-  std::optional<double> ConfirmationTimeLeftS(Times now) const;
+  std::optional<double> ConfirmationTimeLeftS(Timestamp now) const;
 
   // The step to a state that another process of this gateway has written.
   // @return nothing where it is no later than this process's.
   std::optional<Transition> AdoptPeerState(const State& peer) const;
 
   void Apply(State&& state) noexcept { state_ = std::move(state); }
-  void RecordRejection(UpdateSource source, std::string why, Times now);
+  void RecordRejection(UpdateSource source, std::string why, Timestamp now);
 
   const State& state() const { return state_; }
   const std::vector<RejectedUpdate>& rejected_updates() const { return rejected_updates_; }
@@ -91,7 +91,7 @@
   std::variant<Candidate, Rejection> SelectRollbackTarget(uint64_t target_revision) const;
   Findings Check(const nlohmann::json& document, UpdateSource source) const;
   // Fills in the state after `candidate` has replaced the running document.
-  void SetNextState(const UpdateRequest& request, Candidate candidate, Times now, Transition* next) const;
+  void SetNextState(const UpdateRequest& request, Candidate candidate, Timestamp now, Transition* next) const;
 
   State state_;
   nlohmann::json initial_settings_;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -18,9 +18,9 @@
 
 void PrintFindings(const config::Findings& findings) {
   for (const config::Fault& fault : findings.faults)
-    std::printf("fault: %s\n", config::OneLine({fault}).c_str());
+    std::printf("fault: %s\n", config::FormatFaults({fault}).c_str());
   for (const config::Fault& warning : findings.warnings)
-    std::printf("warning: %s\n", config::OneLine({warning}).c_str());
+    std::printf("warning: %s\n", config::FormatFaults({warning}).c_str());
   std::printf("%zu faults, %zu warnings\n", findings.faults.size(), findings.warnings.size());
 }
 
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -20,7 +20,7 @@
 void FlattenInto(const std::string& path, const json& value, std::string* out) {
   auto line = [&](const std::string& key, const std::string& text) { *out += key + "=" + text + "\n"; };
   auto plain = [](const json& v) {
-    return v.is_string() ? config::PlainName(v.get<std::string>()) : v.dump();
+    return v.is_string() ? config::SanitizeName(v.get<std::string>()) : v.dump();
   };
   if (value.is_object()) {
     for (const auto& [key, inner] : value.items()) {
--- a/src/net/configuration_api.cpp
+++ b/src/net/configuration_api.cpp
@@ -32,14 +32,14 @@
 
 json ToJson(const std::vector<config::Fault>& faults) {
   json out = json::array();
-  for (const config::Fault& fault : faults) out.push_back({{"at", fault.at}, {"why", fault.why}});
+  for (const config::Fault& fault : faults) out.push_back({{"at", fault.path}, {"why", fault.message}});
   return out;
 }
 
 json ToJson(const std::vector<config::Change>& changes) {
   json out = json::array();
   for (const config::Change& change : changes) {
-    out.push_back({{"at", change.at}, {"what", change.what}, {"takes", ToString(change.activation)}});
+    out.push_back({{"at", change.path}, {"what", change.kind}, {"takes", ToString(change.activation)}});
   }
   return out;
 }
@@ -55,7 +55,7 @@
 json ToJson(const std::vector<config::RejectedUpdate>& rejected_updates) {
   json out = json::array();
   for (const config::RejectedUpdate& rejected : rejected_updates) {
-    out.push_back({{"at", rejected.time_s}, {"from", ToString(rejected.source)}, {"why", rejected.why}});
+    out.push_back({{"at", rejected.time_s}, {"from", ToString(rejected.source)}, {"why", rejected.reason}});
   }
   return out;
 }
@@ -88,7 +88,7 @@
 }
 
 UpdateError InvalidDocument(const std::vector<config::Fault>& faults) {
-  return {UpdateError::Code::kInvalid, config::OneLine(faults), faults, {}};
+  return {UpdateError::Code::kInvalid, config::FormatFaults(faults), faults, {}};
 }
 
 // Reads an optional parameter of the query.
--- a/src/net/configuration_file.cpp
+++ b/src/net/configuration_file.cpp
@@ -37,7 +37,7 @@
   if (!parsed.value.is_object()) return content;
   config::Findings found = config::CheckConfig(parsed.value, config::Author::kPlatform, initial_settings);
   for (config::Fault& fault : found.faults) {
-    config::AddFault(&content.faults, std::move(fault.at), std::move(fault.why));
+    config::AddFault(&content.faults, std::move(fault.path), std::move(fault.message));
   }
   content.warnings = std::move(found.warnings);
   if (content.faults.empty()) content.document = std::move(parsed.value);
--- a/src/net/configuration_manager.cpp
+++ b/src/net/configuration_manager.cpp
@@ -24,7 +24,7 @@
 // The type that %llu formats.
 unsigned long long Printed(uint64_t number) { return number; }
 
-config::Times Now() {
+config::Timestamp Now() {
   auto seconds = [](auto elapsed) { return std::chrono::duration<double>(elapsed).count(); };
   return {seconds(std::chrono::system_clock::now().time_since_epoch()),
           seconds(std::chrono::steady_clock::now().time_since_epoch())};
@@ -42,7 +42,7 @@
 }
 
 UpdateError ErrorOf(const config::Rejection& rejection) {
-  return {CodeOf(rejection.kind), rejection.why, rejection.faults, rejection.changes};
+  return {CodeOf(rejection.kind), rejection.message, rejection.faults, rejection.changes};
 }
 
 UpdateError MakeError(UpdateError::Code code, std::string why) { return {code, std::move(why), {}, {}}; }
@@ -58,7 +58,7 @@
 
 json ConfigurationManager::LoadInitial() {
   const ConfigurationFile::Content file = file_.ReadAtStart();
-  const config::Times now = Now();
+  const config::Timestamp now = Now();
   const std::optional<config::State> logged = revision_log_.Read();
   std::optional<config::State> state;
   if (logged) state = config::RevisionHistory::ResumeFromLog(*logged, file.document, now);
@@ -69,13 +69,13 @@
       state = config::RevisionHistory::ResumeFromLog(*logged, file.document, now, true);
     }
   }
-  if (!state && file.document.is_null()) throw ProtocolError(config::OneLine(file.faults));
+  if (!state && file.document.is_null()) throw ProtocolError(config::FormatFaults(file.faults));
   if (!state) state = config::RevisionHistory::StartFromFile(file.document, now);
   json document = state->Running().document;
   document["known"] =
       file.document.is_null() ? state->initial_endpoints : file.document.value("known", json());
   if (file.document.is_null()) {
-    start_fault_ = config::OneLine(file.faults);
+    start_fault_ = config::FormatFaults(file.faults);
     std::fprintf(stderr,
                  "STARTED BY THE LAST GOOD CONFIGURATION, revision %llu, since the file is broken: %s\n",
                  Printed(state->running), start_fault_.c_str());
@@ -154,7 +154,7 @@
 }
 
 std::optional<UpdateError> ConfigurationManager::ApplyFile(ConfigurationFile::Content file) {
-  if (!file.faults.empty()) return MakeError(UpdateError::Code::kInvalid, config::OneLine(file.faults));
+  if (!file.faults.empty()) return MakeError(UpdateError::Code::kInvalid, config::FormatFaults(file.faults));
   config::UpdateRequest request;
   request.document = std::move(file.document);
   auto proposal = revisions_->Propose(request, Now());
@@ -166,7 +166,7 @@
   needs_restart_ = std::move(needs_restart);
   start_fault_.clear();
   for (size_t i = 0; i < std::min(kMaxLoggedWarnings, file.warnings.size()); ++i) {
-    std::fprintf(stderr, "warning: %s\n", config::OneLine({file.warnings[i]}).c_str());
+    std::fprintf(stderr, "warning: %s\n", config::FormatFaults({file.warnings[i]}).c_str());
   }
   for (const std::string& at : needs_restart_) {
     std::fprintf(stderr, "warning: %s stays as it was until a restart\n", at.c_str());
@@ -287,7 +287,7 @@
 ConfigurationManager::UpdateResult ConfigurationManager::CommitOperatorUpdate(
     std::variant<config::Transition, config::Rejection> proposal, config::UpdateSource source) {
   if (auto* rejection = std::get_if<config::Rejection>(&proposal)) {
-    RecordRejection(source, rejection->why);
+    RecordRejection(source, rejection->message);
     return ErrorOf(*rejection);
   }
   auto& next = std::get<config::Transition>(proposal);
--- a/src/net/endpoint_list.cpp
+++ b/src/net/endpoint_list.cpp
@@ -16,7 +16,7 @@
 constexpr int kUnknownPosition = 65535;  // of a zone or kind that the settings don't name
 
 int Position(const std::vector<std::string>& names, const std::string& name) {
-  auto it = name.empty() ? names.end() : std::find(names.begin(), names.end(), config::PlainName(name));
+  auto it = name.empty() ? names.end() : std::find(names.begin(), names.end(), config::SanitizeName(name));
   return it == names.end() ? kUnknownPosition : static_cast<int>(it - names.begin());
 }
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -92,7 +92,7 @@
 
 std::set<std::string> Places(const std::vector<Fault>& faults) {
   std::set<std::string> places;
-  for (const Fault& fault : faults) places.insert(fault.at);
+  for (const Fault& fault : faults) places.insert(fault.path);
   return places;
 }
 std::set<std::string> Faults(const json& document, Author author = Author::kOperator,
@@ -106,7 +106,7 @@
 
 TEST(Document, ReadsWhatIsSound) {
   Document document = ReadDocument(Good().dump());
-  EXPECT_TRUE(document.faults.empty()) << OneLine(document.faults);
+  EXPECT_TRUE(document.faults.empty()) << FormatFaults(document.faults);
   EXPECT_EQ(document.value, Good());
 }
 
@@ -114,7 +114,7 @@
   Document document =
       ReadDocument(R"({"a": 1e999, "b": {"c/d": [1, 2], "c/d": [0, -1e400, {"x": 1, "x": 2}]}, "a": 3})");
   EXPECT_EQ(Places(document.faults), (Set{"/a", "/b/c~1d", "/b/c~1d/1", "/b/c~1d/2/x"}))
-      << OneLine(document.faults);
+      << FormatFaults(document.faults);
 }
 
 TEST(Document, TurnsDownWhatIsNoObject) {
@@ -124,24 +124,24 @@
     Document document = ReadDocument(text);
     EXPECT_FALSE(document.faults.empty()) << text;
     EXPECT_TRUE(document.value.is_null()) << text;
-    EXPECT_EQ(OneLine(document.faults).find('\n'), std::string::npos);
+    EXPECT_EQ(FormatFaults(document.faults).find('\n'), std::string::npos);
   }
 }
 
 TEST(Document, IsBoundedInDepthSizeAndFaults) {
   std::string deep = std::string(1000000, '[');
-  EXPECT_NE(OneLine(ReadDocument(deep).faults).find("deeper"), std::string::npos);
+  EXPECT_NE(FormatFaults(ReadDocument(deep).faults).find("deeper"), std::string::npos);
   std::string objects;
   for (int i = 0; i < 1000; ++i) objects += "{\"a\":";
-  EXPECT_NE(OneLine(ReadDocument(objects).faults).find("deeper"), std::string::npos);
-  EXPECT_NE(OneLine(ReadDocument(std::string(101, ' '), 100).faults).find("longer"), std::string::npos);
+  EXPECT_NE(FormatFaults(ReadDocument(objects).faults).find("deeper"), std::string::npos);
+  EXPECT_NE(FormatFaults(ReadDocument(std::string(101, ' '), 100).faults).find("longer"), std::string::npos);
   std::string twice = "{\"a\": 0";
   for (int i = 0; i < 5000; ++i) twice += ", \"a\": 0";
   EXPECT_EQ(ReadDocument(twice + "}").faults.size(), kMaxFaults);
   std::string huge = "[0";
   for (int i = 0; i < 5000; ++i) huge += ", 1e999";
   EXPECT_LE(ReadDocument("{\"a\": " + huge + "]}").faults.size(), kMaxFaults);
-  EXPECT_LT(OneLine(ReadDocument("{\"" + std::string(100000, 'k') + "\": 1e999}").faults).size(), 1000u);
+  EXPECT_LT(FormatFaults(ReadDocument("{\"" + std::string(100000, 'k') + "\": 1e999}").faults).size(), 1000u);
 }
 
 TEST(Document, NoCutOrBentTextIsTakenOrHarms) {
@@ -162,8 +162,8 @@
 
 TEST(Check, FindsNothingInASoundFile) {
   Findings found = CheckConfig(Good(), Author::kOperator, Good()["settings"]);
-  EXPECT_TRUE(found.faults.empty()) << OneLine(found.faults);
-  EXPECT_TRUE(found.warnings.empty()) << OneLine(found.warnings);
+  EXPECT_TRUE(found.faults.empty()) << FormatFaults(found.faults);
+  EXPECT_TRUE(found.warnings.empty()) << FormatFaults(found.warnings);
 }
 
 TEST(Check, NamesAllFaultsInOneGo) {
@@ -274,9 +274,10 @@
     }
     ++down;
     bool named = std::any_of(found.faults.begin(), found.faults.end(), [&](const Fault& fault) {
-      return fault.at.rfind(pointer, 0) == 0 || pointer.rfind(fault.at, 0) == 0 || fault.at == "/counter";
+      return fault.path.rfind(pointer, 0) == 0 || pointer.rfind(fault.path, 0) == 0 ||
+             fault.path == "/counter";
     });
-    EXPECT_TRUE(named) << pointer << " -> " << OneLine(found.faults);
+    EXPECT_TRUE(named) << pointer << " -> " << FormatFaults(found.faults);
   };
   for (const std::string& pointer : pointers) {
     for (const json& value : values) {
@@ -308,8 +309,8 @@
 std::map<std::string, std::string> Planned(const json& had, const json& has) {
   std::map<std::string, std::string> out;
   for (const Change& change : PlanChanges(had, has)) {
-    std::string& text = out[change.at];
-    text += (text.empty() ? "" : "; ") + change.what + ", " + ToString(change.activation);
+    std::string& text = out[change.path];
+    text += (text.empty() ? "" : "; ") + change.kind + ", " + ToString(change.activation);
   }
   return out;
 }
@@ -366,7 +367,7 @@
 struct Keeper {
   explicit Keeper(const json& file = Good())
       : now{1000, 50}, revisions(RevisionHistory::StartFromFile(file, now), file["settings"]) {}
-  explicit Keeper(State state, Times at) : now(at), revisions(std::move(state), Good()["settings"]) {}
+  explicit Keeper(State state, Timestamp at) : now(at), revisions(std::move(state), Good()["settings"]) {}
 
   Rejection::Kind Refused(const UpdateRequest& request) {
     auto answer = revisions.Propose(request, now);
@@ -398,7 +399,7 @@
   int Attempts() const { return Document()["settings"]["limits"]["try-limit"].get<int>(); }
   void Pass(double s) { now = {now.system_s + s, now.steady_s + s}; }
 
-  Times now;
+  Timestamp now;
   RevisionHistory revisions;
 };
 json Tries(int most) { return With("/settings/limits/try-limit", most); }
--- a/tests/stored_files_test.cpp
+++ b/tests/stored_files_test.cpp
@@ -153,7 +153,7 @@
   const auto state = config::ParseState(kRevisionLog);
   ASSERT_TRUE(state);
   nlohmann::json file = state->revisions.front().document;
-  const config::Times now{1040.5, 90.25};
+  const config::Timestamp now{1040.5, 90.25};
   EXPECT_EQ(config::RevisionHistory::ResumeFromLog(*state, file, now), *state);
   config::RevisionHistory revisions(*state, file.at("settings"));
   EXPECT_EQ(revisions.ConfirmationTimeLeftS(now), 290.0);
