--- a/src/config/plan.cpp
+++ b/src/config/changes.cpp
@@ -1,4 +1,4 @@
-#include "config/plan.h"
+#include "config/changes.h"
 
 #include <algorithm>
 #include <array>
--- a/src/config/plan.h
+++ b/src/config/changes.h
@@ -1,6 +1,6 @@
 // Compares a new configuration with the running one: what changes, and when each change takes effect. No I/O.
-#ifndef LEMONCHUTE_CONFIG_PLAN_H_
-#define LEMONCHUTE_CONFIG_PLAN_H_
+#ifndef LEMONCHUTE_CONFIG_CHANGES_H_
+#define LEMONCHUTE_CONFIG_CHANGES_H_
 
 #include <nlohmann/json.hpp>
 #include <string>
@@ -35,4 +35,4 @@
 
 }  // namespace lemonchute::config
 
-#endif  // LEMONCHUTE_CONFIG_PLAN_H_
+#endif  // LEMONCHUTE_CONFIG_CHANGES_H_
--- a/src/config/revisions.h
+++ b/src/config/revisions.h
@@ -14,8 +14,8 @@
 #include <variant>
 #include <vector>
 
+#include "config/changes.h"
 #include "config/check.h"
-#include "config/plan.h"
 #include "config/revision_state.h"
 
 namespace lemonchute::config {
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -7,10 +7,10 @@
 #include <random>
 #include <set>
 
+#include "config/changes.h"
 #include "config/check.h"
 #include "config/content_id.h"
 #include "config/document.h"
-#include "config/plan.h"
 #include "config/revision_codec.h"
 #include "config/revisions.h"
 
