--- a/src/config/changes.cpp
+++ b/src/config/changes.cpp
@@ -24,12 +24,12 @@
     "/settings/request-classes", "/settings/limits/cancel", "/settings/limits/parallel-tries",
     "/settings/limits/try-limit"};
 
-bool IsWithin(std::string_view at, std::string_view root) {
-  return at.substr(0, root.size()) == root && (at.size() == root.size() || at[root.size()] == '/');
+bool IsWithin(std::string_view path, std::string_view root) {
+  return path.substr(0, root.size()) == root && (path.size() == root.size() || path[root.size()] == '/');
 }
 
-Activation ActivationOf(std::string_view at) {
-  auto within = [at](std::string_view root) { return IsWithin(at, root); };
+Activation ActivationOf(std::string_view path) {
+  auto within = [path](std::string_view root) { return IsWithin(path, root); };
   if (std::any_of(kRestartPaths.begin(), kRestartPaths.end(), within)) return Activation::kRestart;
   if (std::any_of(kNewRequestPaths.begin(), kNewRequestPaths.end(), within)) return Activation::kNewRequests;
   return Activation::kImmediate;
@@ -55,34 +55,34 @@
  public:
   explicit Diff(std::vector<Change>* changes) : changes_(changes) {}
 
-  void Compare(const json& before, const json& after, const std::string& at) {
+  void Compare(const json& before, const json& after, const std::string& path) {
     if (before.is_object() && after.is_object()) {
-      CompareObjects(before, after, at);
+      CompareObjects(before, after, path);
     } else if (before.is_array() && after.is_array() && (AllNamed(before) || AllNamed(after))) {
-      CompareByName(before, after, at);
+      CompareByName(before, after, path);
     } else if (before != after) {
-      Add(at, "changed");
+      Add(path, "changed");
     }
   }
 
  private:
   using NameIndex = std::unordered_map<std::string, const json*>;
 
-  void Add(const std::string& at, const char* what) {
-    const Activation activation = ActivationOf(at);
+  void Add(const std::string& path, const char* kind) {
+    const Activation activation = ActivationOf(path);
     if (changes_->size() < kMaxListedChanges || activation == Activation::kRestart) {
-      changes_->push_back({at, activation, what});
+      changes_->push_back({path, activation, kind});
     }
   }
 
-  void CompareObjects(const json& before, const json& after, const std::string& at) {
+  void CompareObjects(const json& before, const json& after, const std::string& path) {
     for (const auto& [key, value] : before.items()) {
-      if (IsIgnored(at, key)) continue;
+      if (IsIgnored(path, key)) continue;
       auto it = after.find(key);
-      it == after.end() ? Add(ChildPath(at, key), "removed") : Compare(value, *it, ChildPath(at, key));
+      it == after.end() ? Add(ChildPath(path, key), "removed") : Compare(value, *it, ChildPath(path, key));
     }
     for (const auto& [key, value] : after.items()) {
-      if (!IsIgnored(at, key) && !before.contains(key)) Add(ChildPath(at, key), "added");
+      if (!IsIgnored(path, key) && !before.contains(key)) Add(ChildPath(path, key), "added");
     }
   }
 
@@ -95,17 +95,17 @@
     return index;
   }
 
-  void CompareByName(const json& before, const json& after, const std::string& at) {
+  void CompareByName(const json& before, const json& after, const std::string& path) {
     const NameIndex before_index = IndexByName(before), after_index = IndexByName(after);
     for (size_t i = 0; i < after.size(); ++i) {
       const std::string* name = NameOf(after[i]);
       auto it = name == nullptr ? before_index.end() : before_index.find(*name);
-      it == before_index.end() ? Add(ChildPath(at, i), "added")
-                               : Compare(*it->second, after[i], ChildPath(at, i));
+      it == before_index.end() ? Add(ChildPath(path, i), "added")
+                               : Compare(*it->second, after[i], ChildPath(path, i));
     }
     for (size_t i = 0; i < before.size(); ++i) {
       const std::string* name = NameOf(before[i]);
-      if (name == nullptr || after_index.count(*name) == 0) Add(ChildPath(at, i), "removed");
+      if (name == nullptr || after_index.count(*name) == 0) Add(ChildPath(path, i), "removed");
     }
   }
 
@@ -123,15 +123,15 @@
   return "";
 }
 
-std::vector<Change> PlanChanges(const json& running, const json& candidate) {
+std::vector<Change> FindChanges(const json& running, const json& candidate) {
   std::vector<Change> changes;
   Diff(&changes).Compare(running, candidate, "");
   return changes;
 }
 
 json WithoutRestartChanges(const json& running, json candidate) {
-  for (std::string_view at : kRestartPaths) {
-    json::json_pointer pointer{std::string(at)};
+  for (std::string_view path : kRestartPaths) {
+    json::json_pointer pointer{std::string(path)};
     const json::json_pointer parent = pointer.parent_pointer();
     if (!parent.empty() && !candidate.contains(parent)) continue;
     if (running.contains(pointer)) {
--- a/src/config/changes.h
+++ b/src/config/changes.h
@@ -28,7 +28,7 @@
 
 // Lists of named objects, such as classes and plans, are compared by name and not by position. Process-local
 // keys (IsProcessLocalKey) are ignored, except `ops`, which needs a restart.
-std::vector<Change> PlanChanges(const nlohmann::json& running, const nlohmann::json& candidate);
+std::vector<Change> FindChanges(const nlohmann::json& running, const nlohmann::json& candidate);
 
 // The candidate as far as it can be applied now: what needs a restart is as in `running`.
 nlohmann::json WithoutRestartChanges(const nlohmann::json& running, nlohmann::json candidate);
--- a/src/config/check_extensions.cpp
+++ b/src/config/check_extensions.cpp
@@ -20,21 +20,23 @@
 
 enum class PortRule { kAny, kFixed };
 
-bool CheckPeerAddress(const json& value, const std::string& at, PortRule port_rule, FaultReporter* reporter) {
+bool CheckPeerAddress(const json& value, const std::string& path, PortRule port_rule,
+                      FaultReporter* reporter) {
   auto address = value.is_string() ? ParseHostPort(value.get_ref<const std::string&>()) : std::nullopt;
   const bool valid = address && address->host.is_v4() && (port_rule == PortRule::kAny || address->port != 0);
-  if (!valid) reporter->Fault(at, "must be an IPv4 address such as 10.0.0.4:7946 for extensions.membership");
+  if (!valid)
+    reporter->Fault(path, "must be an IPv4 address such as 10.0.0.4:7946 for extensions.membership");
   return valid;
 }
 
 void CheckMembershipFields(const json& membership, FaultReporter* reporter) {
-  const std::string at = "/extensions/membership";
+  const std::string path = "/extensions/membership";
   for (const auto& [key, value] : membership.items()) {
     if (key != "share") {
-      reporter->Fault(ChildPath(at, key), "is not known");
+      reporter->Fault(ChildPath(path, key), "is not known");
     } else if (!value.is_number() || value.get<double>() < kMinMembershipShare ||
                value.get<double>() > kMaxMembershipShare) {
-      reporter->Fault(ChildPath(at, key), "must be a number from 0.05 to 1");
+      reporter->Fault(ChildPath(path, key), "must be a number from 0.05 to 1");
     }
   }
 }
@@ -62,10 +64,10 @@
   }
   std::set<std::string> seen;
   for (size_t i = 0; i < peers.size(); ++i) {
-    const std::string at = ChildPath("/peers", i);
-    if (!CheckPeerAddress(peers[i], at, PortRule::kFixed, reporter)) continue;
+    const std::string path = ChildPath("/peers", i);
+    if (!CheckPeerAddress(peers[i], path, PortRule::kFixed, reporter)) continue;
     const auto& address = peers[i].get_ref<const std::string&>();
-    if (!seen.insert(address).second) reporter->Fault(at, "occurs twice: " + Printable(address));
+    if (!seen.insert(address).second) reporter->Fault(path, "occurs twice: " + Printable(address));
   }
 }
 
--- a/src/config/check_initial_endpoints.cpp
+++ b/src/config/check_initial_endpoints.cpp
@@ -40,55 +40,56 @@
       return Report("/known/endpoints", "must be a list");
     }
     for (size_t i = 0; i < endpoints->size(); ++i) {
-      const std::string at = ChildPath("/known/endpoints", i);
+      const std::string path = ChildPath("/known/endpoints", i);
       const json& endpoint = (*endpoints)[i];
-      endpoint.is_object() ? CheckEndpoint(endpoint, at) : WrongType(at, "an object", endpoint);
+      endpoint.is_object() ? CheckEndpoint(endpoint, path) : WrongType(path, "an object", endpoint);
     }
   }
 
  private:
   enum class Presence { kRequired, kOptional };
 
-  void Report(const std::string& at, const std::string& why) {
-    started_ ? reporter_->Doubt(at, why) : reporter_->Fault(at, why);
+  void Report(const std::string& path, const std::string& message) {
+    started_ ? reporter_->Questionable(path, message) : reporter_->Fault(path, message);
   }
-  void WrongType(const std::string& at, const char* expected, const json& actual) {
-    Report(at, std::string("must be ") + expected + ", and is " + TypeName(actual));
+  void WrongType(const std::string& path, const char* expected, const json& actual) {
+    Report(path, std::string("must be ") + expected + ", and is " + TypeName(actual));
   }
 
-  const std::string* Text(const json& endpoint, const std::string& at, const char* key, Presence presence) {
+  const std::string* FindText(const json& endpoint, const std::string& path, const char* key,
+                              Presence presence) {
     auto field = endpoint.find(key);
     if (field != endpoint.end() && field->is_string()) return field->get_ptr<const std::string*>();
     if (presence == Presence::kRequired || field != endpoint.end())
-      Report(ChildPath(at, key), "must be a text");
+      Report(ChildPath(path, key), "must be a text");
     return nullptr;
   }
 
-  void CheckEndpoint(const json& endpoint, const std::string& at) {
-    Text(endpoint, at, "name", Presence::kRequired);
-    const std::string* status = Text(endpoint, at, "status", Presence::kRequired);
+  void CheckEndpoint(const json& endpoint, const std::string& path) {
+    FindText(endpoint, path, "name", Presence::kRequired);
+    const std::string* status = FindText(endpoint, path, "status", Presence::kRequired);
     const bool reachable = status != nullptr && (*status == "active" || *status == "leaving");
     if (status != nullptr && !reachable && *status != "left") {
-      Report(ChildPath(at, "status"), "must be one of active, leaving, left, and is " + Printable(*status));
+      Report(ChildPath(path, "status"), "must be one of active, leaving, left, and is " + Printable(*status));
     }
     const std::string* address =
-        Text(endpoint, at, "address", reachable ? Presence::kRequired : Presence::kOptional);
+        FindText(endpoint, path, "address", reachable ? Presence::kRequired : Presence::kOptional);
     if (address != nullptr && !ParseHostPort(*address)) {
-      Report(ChildPath(at, "address"), "is no address such as 10.0.0.4:5000: " + Printable(*address));
+      Report(ChildPath(path, "address"), "is no address such as 10.0.0.4:5000: " + Printable(*address));
     }
-    CheckNamed(endpoint, at, "zone", zones_);
-    CheckNamed(endpoint, at, "type", kinds_);
+    CheckListed(endpoint, path, "zone", zones_);
+    CheckListed(endpoint, path, "type", kinds_);
     for (const char* key : {"group", "weight", "since_ms"}) {
       auto field = endpoint.find(key);
-      if (field != endpoint.end() && !field->is_number()) WrongType(ChildPath(at, key), "a number", *field);
+      if (field != endpoint.end() && !field->is_number()) WrongType(ChildPath(path, key), "a number", *field);
     }
   }
 
-  void CheckNamed(const json& endpoint, const std::string& at, const char* key,
-                  const std::set<std::string>& names) {
-    const std::string* name = Text(endpoint, at, key, Presence::kOptional);
+  void CheckListed(const json& endpoint, const std::string& path, const char* key,
+                   const std::set<std::string>& names) {
+    const std::string* name = FindText(endpoint, path, key, Presence::kOptional);
     if (name == nullptr || names.count(SanitizeName(*name)) != 0) return;
-    reporter_->Warning(ChildPath(at, key), "is not named in the settings: " + Printable(*name));
+    reporter_->Warning(ChildPath(path, key), "is not named in the settings: " + Printable(*name));
   }
 
   const std::set<std::string> zones_, kinds_;
--- a/src/config/check_process.cpp
+++ b/src/config/check_process.cpp
@@ -28,15 +28,15 @@
 constexpr IntegerBound kLimits[] = {{"sockets", kMinSockets}, {"memory_mb", kMinMemoryMb}};
 
 void CheckAddress(const json& document, const char* key, Presence presence, FaultReporter* reporter) {
-  const std::string at = ChildPath("", key);
+  const std::string path = ChildPath("", key);
   auto field = document.find(key);
   if (field == document.end() || field->is_null()) {
-    if (presence == Presence::kRequired) reporter->Fault(at, "is missing");
+    if (presence == Presence::kRequired) reporter->Fault(path, "is missing");
     return;
   }
-  if (!field->is_string()) return reporter->WrongType(at, "an address", *field);
+  if (!field->is_string()) return reporter->WrongType(path, "an address", *field);
   const auto& text = field->get_ref<const std::string&>();
-  if (!ParseHostPort(text)) reporter->Fault(at, "is no address such as 10.0.0.4:5000: " + Printable(text));
+  if (!ParseHostPort(text)) reporter->Fault(path, "is no address such as 10.0.0.4:5000: " + Printable(text));
 }
 
 void CheckSeed(const json& document, FaultReporter* reporter) {
@@ -91,7 +91,8 @@
     for (const char* other : {"discovery", "counter", "ops"}) {
       if (std::string_view(own) == other) continue;
       if (!SameEndpoint(FindAddress(document, own), FindAddress(document, other))) continue;
-      reporter->Doubt(ChildPath("", other), std::string("is the address that this process holds as ") + own);
+      reporter->Questionable(ChildPath("", other),
+                             std::string("is the address that this process holds as ") + own);
     }
   }
 }
--- a/src/config/check_settings.cpp
+++ b/src/config/check_settings.cpp
@@ -99,33 +99,34 @@
   std::set<std::string> seen;
   for (size_t i = 0; i < table->size(); ++i) {
     const json& entry = (*table)[i];
-    const std::string at = ChildPath(ChildPath("/settings", key), i);
+    const std::string path = ChildPath(ChildPath("/settings", key), i);
     if (!entry.is_object()) {
-      reporter->WrongType(at, "an object", entry);
+      reporter->WrongType(path, "an object", entry);
       continue;
     }
-    CheckFields(entry, at, fields, reporter);
+    CheckFields(entry, path, fields, reporter);
     auto name = entry.find("name");
     if (name != entry.end() && name->is_string()) {
-      CheckUniqueName(*name, ChildPath(at, "name"), &seen, reporter);
+      CheckUniqueName(*name, ChildPath(path, "name"), &seen, reporter);
     }
   }
   return table;
 }
 
-void CheckClass(const json& request_class, const std::string& at, FaultReporter* reporter) {
+void CheckClass(const json& request_class, const std::string& path, FaultReporter* reporter) {
   if (!request_class.is_object()) return;
-  CheckEnum(request_class, at, "effect", {"free", "guarded", "single_shot"}, reporter);
-  CheckEnum(request_class, at, "dedup-scope", {"all", "zone", "cell"}, reporter);
+  CheckEnum(request_class, path, "effect", {"free", "guarded", "single_shot"}, reporter);
+  CheckEnum(request_class, path, "dedup-scope", {"all", "zone", "cell"}, reporter);
   auto latency_objective_s = FindNumber(request_class, "aim-s");
   auto deadline_s = FindNumber(request_class, "hard-limit-s");
   if (latency_objective_s && deadline_s && *deadline_s > 0 && *latency_objective_s > *deadline_s) {
-    reporter->Doubt(ChildPath(at, "aim-s"), "is beyond the deadline, " + ChildPath(at, "hard-limit-s"));
+    reporter->Questionable(ChildPath(path, "aim-s"),
+                           "is beyond the deadline, " + ChildPath(path, "hard-limit-s"));
   }
 }
 
 // A bucket smaller than the largest request would never admit that request.
-void CheckPlan(const json& plan, const json& settings, const std::string& at, FaultReporter* reporter) {
+void CheckPlan(const json& plan, const json& settings, const std::string& path, FaultReporter* reporter) {
   auto specifics = settings.find("specifics");
   auto largest_units = specifics == settings.end() ? std::nullopt : FindNumber(*specifics, "units-top");
   if (!largest_units) return;
@@ -134,8 +135,8 @@
     auto burst_units = FindNumber(plan, burst_key);
     if (!rate_units_per_s || !burst_units) return;
     if (*rate_units_per_s > 0 && *burst_units < *largest_units) {
-      reporter->Doubt(ChildPath(at, burst_key),
-                      "is less than the largest request, /settings/specifics/units-top");
+      reporter->Questionable(ChildPath(path, burst_key),
+                             "is less than the largest request, /settings/specifics/units-top");
     }
   };
   check_burst("units-per-s", "store-size");
@@ -147,7 +148,7 @@
   auto zones = settings.find("zones");
   if (!zone || zones == settings.end() || !zones->is_array() || zones->empty()) return;
   if (*zone >= static_cast<double>(zones->size())) {
-    reporter->Doubt("/settings/zone", "is no place in /settings/zones");
+    reporter->Questionable("/settings/zone", "is no place in /settings/zones");
   }
 }
 
@@ -165,22 +166,22 @@
 }  // namespace
 
 void CheckSettings(const json& settings, const json& document, FaultReporter* reporter) {
-  const std::string at = "/settings";
-  CheckFields(settings, at, kTopFields, reporter);
-  CheckEnum(settings, at, "discovery", {"pushed", "on_request"}, reporter);
+  const std::string path = "/settings";
+  CheckFields(settings, path, kTopFields, reporter);
+  CheckEnum(settings, path, "discovery", {"pushed", "on_request"}, reporter);
   for (const FieldGroup& group : kGroups) {
-    const json* value = RequireObject(settings, at, group.key, reporter);
-    if (value != nullptr) CheckFields(*value, ChildPath(at, group.key), group.fields, reporter);
+    const json* value = RequireObject(settings, path, group.key, reporter);
+    if (value != nullptr) CheckFields(*value, ChildPath(path, group.key), group.fields, reporter);
   }
   CheckNameList(settings, "zones", reporter);
   CheckNameList(settings, "kinds", reporter);
   const json* classes = CheckTable(settings, "request-classes", kClassFields, reporter);
   const json* plans = CheckTable(settings, "tiers-of-service", kPlanFields, reporter);
   for (size_t i = 0; classes != nullptr && i < classes->size(); ++i) {
-    CheckClass((*classes)[i], ChildPath(ChildPath(at, "request-classes"), i), reporter);
+    CheckClass((*classes)[i], ChildPath(ChildPath(path, "request-classes"), i), reporter);
   }
   for (size_t i = 0; plans != nullptr && i < plans->size(); ++i) {
-    CheckPlan((*plans)[i], settings, ChildPath(ChildPath(at, "tiers-of-service"), i), reporter);
+    CheckPlan((*plans)[i], settings, ChildPath(ChildPath(path, "tiers-of-service"), i), reporter);
   }
   CheckZone(settings, reporter);
   CheckCounter(settings, document, reporter);
--- a/src/config/check_shape.cpp
+++ b/src/config/check_shape.cpp
@@ -22,28 +22,30 @@
   return common;
 }
 
-void ReportOnce(const std::string& at, std::string why, FaultReporter* reporter) {
-  if (!reporter->HasFaultAt(at)) reporter->Fault(at, std::move(why));
+void ReportOnce(const std::string& path, std::string message, FaultReporter* reporter) {
+  if (!reporter->HasFaultAt(path)) reporter->Fault(path, std::move(message));
 }
 
-void CompareShape(const json& initial, const json& current, const std::string& at, FaultReporter* reporter) {
+void CompareShape(const json& initial, const json& current, const std::string& path,
+                  FaultReporter* reporter) {
   const bool same_type = initial.is_number() ? current.is_number() : initial.type() == current.type();
   if (!same_type) {
-    return ReportOnce(at, std::string("must be ") + TypeName(initial) + " as at the start", reporter);
+    return ReportOnce(path, std::string("must be ") + TypeName(initial) + " as at the start", reporter);
   }
   if (initial.is_object()) {
     for (const auto& [key, value] : initial.items()) {
       auto field = current.find(key);
       if (field == current.end()) {
-        ReportOnce(ChildPath(at, key), "is missing, and was there at the start", reporter);
+        ReportOnce(ChildPath(path, key), "is missing, and was there at the start", reporter);
       } else {
-        CompareShape(value, *field, ChildPath(at, key), reporter);
+        CompareShape(value, *field, ChildPath(path, key), reporter);
       }
     }
   } else if (initial.is_array() && !initial.empty()) {
-    if (current.empty()) return reporter->Fault(at, "is empty, and was not at the start");
+    if (current.empty()) return reporter->Fault(path, "is empty, and was not at the start");
     const json element = CommonElement(initial);
-    for (size_t i = 0; i < current.size(); ++i) CompareShape(element, current[i], ChildPath(at, i), reporter);
+    for (size_t i = 0; i < current.size(); ++i)
+      CompareShape(element, current[i], ChildPath(path, i), reporter);
   }
 }
 
--- a/src/config/document.cpp
+++ b/src/config/document.cpp
@@ -9,26 +9,27 @@
 
 constexpr size_t kMaxLineBytes = 2000;
 // Bounds the repeated parsing that reports several numbers out of range at once.
-constexpr size_t kMaxRereads = 16, kMaxRereadBytes = kMaxDocumentBytes;
+constexpr size_t kMaxReparses = 16, kMaxReparsedBytes = kMaxDocumentBytes;
 
 // Builds the value and reports what the parser accepts silently: duplicate keys and deep nesting. Has its own
 // stack, so that nesting takes none of the thread's.
 class DocumentBuilder : public nlohmann::json_sax<json> {
  public:
-  bool null() override { return Put(nullptr); }
-  bool boolean(bool value) override { return Put(value); }
-  bool number_integer(number_integer_t value) override { return Put(value); }
-  bool number_unsigned(number_unsigned_t value) override { return Put(value); }
-  bool number_float(number_float_t value, const string_t&) override { return Put(value); }
-  bool string(string_t& value) override { return Put(std::move(value)); }
+  bool null() override { return AddScalar(nullptr); }
+  bool boolean(bool value) override { return AddScalar(value); }
+  bool number_integer(number_integer_t value) override { return AddScalar(value); }
+  bool number_unsigned(number_unsigned_t value) override { return AddScalar(value); }
+  bool number_float(number_float_t value, const string_t&) override { return AddScalar(value); }
+  bool string(string_t& value) override { return AddScalar(std::move(value)); }
   bool binary(binary_t&) override { return false; }
-  bool start_object(std::size_t) override { return Open(json::object()); }
-  bool start_array(std::size_t) override { return Open(json::array()); }
-  bool end_object() override { return Close(); }
-  bool end_array() override { return Close(); }
+  bool start_object(std::size_t) override { return OpenContainer(json::object()); }
+  bool start_array(std::size_t) override { return OpenContainer(json::array()); }
+  bool end_object() override { return CloseContainer(); }
+  bool end_array() override { return CloseContainer(); }
   bool key(string_t& name) override {
     Level& level = stack_.back();
-    if (level.value->contains(name)) AddFault(&faults, ChildPath(At(), name), "the key occurs twice");
+    if (level.value->contains(name))
+      AddFault(&faults, ChildPath(ContainerPath(), name), "the key occurs twice");
     level.key = std::move(name);
     return true;
   }
@@ -37,20 +38,20 @@
     if (error.id == kOutOfRange) {
       overflow_end = position;
       overflow_size = last.size();
-      overflow_at = Place();
+      overflow_path = NextValuePath();
       return false;
     }
     std::string_view text = error.what();
-    size_t intro = text.find("] ");
-    if (intro != std::string_view::npos) text.remove_prefix(intro + 2);
-    AddFault(&faults, Place(), "no JSON: " + Printable(text, 200));
+    size_t prefix_end = text.find("] ");
+    if (prefix_end != std::string_view::npos) text.remove_prefix(prefix_end + 2);
+    AddFault(&faults, NextValuePath(), "no JSON: " + Printable(text, 200));
     return false;
   }
 
   json root;
   std::vector<Fault> faults;
   std::size_t overflow_end = 0, overflow_size = 0;
-  std::string overflow_at;
+  std::string overflow_path;
 
  private:
   struct Level {
@@ -58,17 +59,19 @@
     std::string key;
   };
 
-  // Path of the open object or list; Place() is that of the next value in it.
-  std::string At() const {
-    std::string at;
-    for (size_t i = 0; i + 1 < stack_.size(); ++i) at = Into(at, stack_[i], true);
-    return at;
+  // Path of the open object or list; NextValuePath() is that of the next value in it.
+  std::string ContainerPath() const {
+    std::string path;
+    for (size_t i = 0; i + 1 < stack_.size(); ++i) path = ElementPath(path, stack_[i], true);
+    return path;
+  }
+  std::string NextValuePath() const {
+    return stack_.empty() ? "" : ElementPath(ContainerPath(), stack_.back(), false);
   }
-  std::string Place() const { return stack_.empty() ? "" : Into(At(), stack_.back(), false); }
   // @param added whether the list's current element is in it already (it is while it is open itself).
-  static std::string Into(const std::string& at, const Level& level, bool added) {
-    if (level.value->is_object()) return ChildPath(at, level.key);
-    return ChildPath(at, level.value->size() - (added ? 1 : 0));
+  static std::string ElementPath(const std::string& path, const Level& level, bool added) {
+    if (level.value->is_object()) return ChildPath(path, level.key);
+    return ChildPath(path, level.value->size() - (added ? 1 : 0));
   }
 
   json* Add(json value) {
@@ -78,20 +81,20 @@
     level.value->push_back(std::move(value));
     return &level.value->back();
   }
-  bool Put(json value) {
+  bool AddScalar(json value) {
     Add(std::move(value));
     return true;
   }
-  bool Open(json value) {
+  bool OpenContainer(json value) {
     if (stack_.size() >= static_cast<size_t>(kMaxDepth)) {
-      AddFault(&faults, Place(), "lies deeper than " + std::to_string(kMaxDepth) + " levels");
+      AddFault(&faults, NextValuePath(), "lies deeper than " + std::to_string(kMaxDepth) + " levels");
       return false;
     }
     json* added = Add(std::move(value));
     stack_.push_back({added, ""});
     return true;
   }
-  bool Close() {
+  bool CloseContainer() {
     stack_.pop_back();
     return true;
   }
@@ -101,9 +104,9 @@
 
 }  // namespace
 
-void AddFault(std::vector<Fault>* faults, std::string at, std::string why) {
+void AddFault(std::vector<Fault>* faults, std::string path, std::string message) {
   if (faults->size() + 1 < kMaxFaults) {
-    faults->push_back({std::move(at), std::move(why)});
+    faults->push_back({std::move(path), std::move(message)});
   } else if (faults->size() < kMaxFaults) {
     faults->push_back({"", "and more, which are not named"});
   }
@@ -119,8 +122,8 @@
   return line;
 }
 
-std::string ChildPath(const std::string& at, std::string_view key) {
-  std::string out = at + "/";
+std::string ChildPath(const std::string& path, std::string_view key) {
+  std::string out = path + "/";
   for (char c : key) {
     if (c == '~') {
       out += "~0";
@@ -133,13 +136,13 @@
   return out;
 }
 
-std::string ChildPath(const std::string& at, size_t index) { return at + "/" + std::to_string(index); }
+std::string ChildPath(const std::string& path, size_t index) { return path + "/" + std::to_string(index); }
 
 std::string Printable(std::string_view text, size_t max_bytes) {
   std::string out;
   for (char c : text.substr(0, max_bytes)) {
-    bool plain = static_cast<unsigned char>(c) >= 0x20 && static_cast<unsigned char>(c) < 0x7f;
-    out += plain ? c : '?';
+    bool is_printable = static_cast<unsigned char>(c) >= 0x20 && static_cast<unsigned char>(c) < 0x7f;
+    out += is_printable ? c : '?';
   }
   return text.size() > max_bytes ? out + "..." : out;
 }
@@ -152,26 +155,27 @@
   }
   std::vector<Fault> overflows;
   std::string patched;
-  for (size_t reads = 0;; ++reads) {
+  for (size_t reparses = 0;; ++reparses) {
     DocumentBuilder builder;
-    bool whole = json::sax_parse(text, &builder);
+    bool complete = json::sax_parse(text, &builder);
     // A number out of range ends the parsing. It is replaced by 0 and the text parsed again, so that one
     // answer reports all faults.
-    if (!whole && builder.overflow_end >= builder.overflow_size && builder.overflow_size > 0 &&
-        builder.overflow_end <= text.size() && reads < kMaxRereads && reads * text.size() < kMaxRereadBytes) {
-      AddFault(&overflows, builder.overflow_at, "is a number out of all range");
+    if (!complete && builder.overflow_end >= builder.overflow_size && builder.overflow_size > 0 &&
+        builder.overflow_end <= text.size() && reparses < kMaxReparses &&
+        reparses * text.size() < kMaxReparsedBytes) {
+      AddFault(&overflows, builder.overflow_path, "is a number out of all range");
       if (patched.empty()) patched.assign(text);
-      size_t from = builder.overflow_end - builder.overflow_size;
-      std::fill_n(patched.begin() + static_cast<ptrdiff_t>(from), builder.overflow_size, ' ');
-      patched[from] = '0';
+      size_t number_begin = builder.overflow_end - builder.overflow_size;
+      std::fill_n(patched.begin() + static_cast<ptrdiff_t>(number_begin), builder.overflow_size, ' ');
+      patched[number_begin] = '0';
       text = patched;
       continue;
     }
     out.faults = std::move(builder.faults);
-    if (!whole && out.faults.empty()) AddFault(&out.faults, "", "no JSON that could be read to its end");
+    if (!complete && out.faults.empty()) AddFault(&out.faults, "", "no JSON that could be read to its end");
     for (Fault& fault : overflows) AddFault(&out.faults, std::move(fault.path), std::move(fault.message));
-    if (whole) out.value = std::move(builder.root);
-    if (whole && !out.value.is_object()) {
+    if (complete) out.value = std::move(builder.root);
+    if (complete && !out.value.is_object()) {
       out.value = nullptr;
       AddFault(&out.faults, "", "the configuration is not a JSON object");
     }
--- a/src/config/document.h
+++ b/src/config/document.h
@@ -19,14 +19,14 @@
 
 // Further faults are dropped, and the last one stored says so.
 inline constexpr size_t kMaxFaults = 64;
-void AddFault(std::vector<Fault>* faults, std::string at, std::string why);
+void AddFault(std::vector<Fault>* faults, std::string path, std::string message);
 
 // "/settings/zones/0: is not a text; ...", bounded in length.
 std::string FormatFaults(const std::vector<Fault>& faults);
 
-// The JSON Pointer of a child of `at`, escaped as RFC 6901 demands.
-std::string ChildPath(const std::string& at, std::string_view key);
-std::string ChildPath(const std::string& at, size_t index);
+// The JSON Pointer of a child of `path`, escaped as RFC 6901 demands.
+std::string ChildPath(const std::string& path, std::string_view key);
+std::string ChildPath(const std::string& path, size_t index);
 
 // The text with '?' for all but printable ASCII, cut to `max_bytes` and then followed by an ellipsis.
 std::string Printable(std::string_view text, size_t max_bytes = 80);
--- a/src/config/field_checks.h
+++ b/src/config/field_checks.h
@@ -19,12 +19,12 @@
   FaultReporter(Author author, Findings* findings) : author_(author), findings_(findings) {}
 
   // A fault whoever wrote the configuration.
-  void Fault(std::string at, std::string why);
+  void Fault(std::string path, std::string message);
   // A warning for the platform's configuration, a fault for an operator's (see Author).
-  void Doubt(std::string at, std::string why);
-  void Warning(std::string at, std::string why);
-  void WrongType(const std::string& at, const char* expected, const nlohmann::json& actual);
-  bool HasFaultAt(const std::string& at) const;
+  void Questionable(std::string path, std::string message);
+  void Warning(std::string path, std::string message);
+  void WrongType(const std::string& path, const char* expected, const nlohmann::json& actual);
+  bool HasFaultAt(const std::string& path) const;
 
  private:
   const Author author_;
@@ -47,22 +47,22 @@
 const char* TypeName(const nlohmann::json& value);
 
 // The field if it has the wanted type. Null after a reported fault: missing, or of another type.
-const nlohmann::json* RequireText(const nlohmann::json& parent, const std::string& at, const char* key,
+const nlohmann::json* RequireText(const nlohmann::json& parent, const std::string& path, const char* key,
                                   FaultReporter* reporter);
-const nlohmann::json* RequireObject(const nlohmann::json& parent, const std::string& at, const char* key,
+const nlohmann::json* RequireObject(const nlohmann::json& parent, const std::string& path, const char* key,
                                     FaultReporter* reporter);
-const nlohmann::json* RequireList(const nlohmann::json& parent, const std::string& at, const char* key,
+const nlohmann::json* RequireList(const nlohmann::json& parent, const std::string& path, const char* key,
                                   FaultReporter* reporter);
 
 // The field if `parent` is an object that has it as a number. Reports nothing.
 std::optional<double> FindNumber(const nlohmann::json& parent, const char* key);
 
-void CheckFields(const nlohmann::json& parent, const std::string& at, std::span<const FieldRule> rules,
+void CheckFields(const nlohmann::json& parent, const std::string& path, std::span<const FieldRule> rules,
                  FaultReporter* reporter);
-void CheckEnum(const nlohmann::json& parent, const std::string& at, const char* key,
+void CheckEnum(const nlohmann::json& parent, const std::string& path, const char* key,
                std::initializer_list<const char*> allowed, FaultReporter* reporter);
 // A text that is not empty and not in `seen` yet, to which it is added.
-void CheckUniqueName(const nlohmann::json& name, const std::string& at, std::set<std::string>* seen,
+void CheckUniqueName(const nlohmann::json& name, const std::string& path, std::set<std::string>* seen,
                      FaultReporter* reporter);
 
 }  // namespace lemonchute::config
--- a/src/config/revisions.cpp
+++ b/src/config/revisions.cpp
@@ -26,7 +26,7 @@
   return out;
 }
 
-void NoteFile(State* state, const json& document, uint64_t number) {
+void RecordAppliedFile(State* state, const json& document, uint64_t number) {
   state->file_id = ContentId(document);
   state->file_revision = number;
   state->file_discovery = Member(document, "discovery");
@@ -105,15 +105,15 @@
 }
 
 // Turns the faults that `running` has as warnings already into warnings: they are no mistake of this update.
-void ExcuseRunningFaults(const std::vector<Fault>& running, Findings* found) {
-  auto excused = std::stable_partition(found->faults.begin(), found->faults.end(), [&](const Fault& fault) {
-    return std::find(running.begin(), running.end(), fault) == running.end();
-  });
-  found->warnings.insert(found->warnings.end(), excused, found->faults.end());
-  found->faults.erase(excused, found->faults.end());
+void DowngradeRunningFaults(const std::vector<Fault>& running, Findings* findings) {
+  auto downgraded = std::stable_partition(
+      findings->faults.begin(), findings->faults.end(),
+      [&](const Fault& fault) { return std::find(running.begin(), running.end(), fault) == running.end(); });
+  findings->warnings.insert(findings->warnings.end(), downgraded, findings->faults.end());
+  findings->faults.erase(downgraded, findings->faults.end());
 }
 
-Rejection Reject(Rejection::Kind kind, std::string why) { return {kind, std::move(why), {}, {}}; }
+Rejection Reject(Rejection::Kind kind, std::string message) { return {kind, std::move(message), {}, {}}; }
 
 std::string RevisionText(uint64_t number) { return "revision " + std::to_string(number); }
 
@@ -131,22 +131,23 @@
 
 State RevisionHistory::StartFromFile(const json& document, Timestamp now) {
   State state;
-  NoteFile(&state, document, AddRevision(&state, document, UpdateSource::kFile, 0, now.system_s));
+  RecordAppliedFile(&state, document, AddRevision(&state, document, UpdateSource::kFile, 0, now.system_s));
   state.initial_endpoints = StoredInitialEndpoints(document);
   state.generation = 1;
   return state;
 }
 
-State RevisionHistory::ResumeFromLog(const State& logged, const json& file, Timestamp now, bool file_wins) {
+State RevisionHistory::ResumeFromLog(const State& logged, const json& file, Timestamp now,
+                                     bool always_use_file) {
   if (file.is_null()) return logged;
   State state = logged;
-  if (!file_wins && ContentId(file) == logged.file_id) {
+  if (!always_use_file && ContentId(file) == logged.file_id) {
     Revision& running = state.revisions.back();
     running.document = WithProcessLocalKeys(std::move(running.document), file);
     return state;
   }
   ++state.generation;
-  NoteFile(&state, file, AddRevision(&state, file, UpdateSource::kFile, 0, now.system_s));
+  RecordAppliedFile(&state, file, AddRevision(&state, file, UpdateSource::kFile, 0, now.system_s));
   state.initial_endpoints = StoredInitialEndpoints(file);
   TrimHistory(&state);
   return state;
@@ -182,9 +183,9 @@
   if (source != UpdateSource::kOperatorUpdate) {
     return CheckConfig(document, Author::kPlatform, initial_settings_);
   }
-  Findings found = CheckConfig(document, Author::kOperator, initial_settings_);
-  ExcuseRunningFaults(CheckConfig(state_.Running().document, Author::kPlatform).warnings, &found);
-  return found;
+  Findings findings = CheckConfig(document, Author::kOperator, initial_settings_);
+  DowngradeRunningFaults(CheckConfig(state_.Running().document, Author::kPlatform).warnings, &findings);
+  return findings;
 }
 
 void RevisionHistory::SetNextState(const UpdateRequest& request, Candidate candidate, Timestamp now,
@@ -203,7 +204,7 @@
     number =
         AddRevision(&next->state, std::move(document), request.source, candidate.restored_from, now.system_s);
   }
-  if (from_file) NoteFile(&next->state, candidate.document, number);
+  if (from_file) RecordAppliedFile(&next->state, candidate.document, number);
   if (request.confirm_within_s > 0 && !next->content_unchanged) {
     const double confirm_within_s = std::min(request.confirm_within_s, kMaxConfirmWithinS);
     next->state.provisional = ProvisionalRevision{number, running.number, now, confirm_within_s};
@@ -225,17 +226,17 @@
     if (auto* rejection = std::get_if<Rejection>(&selected)) return std::move(*rejection);
     candidate = std::get<Candidate>(std::move(selected));
   }
-  Findings found = Check(candidate.document, request.source);
-  if (!found.faults.empty()) {
-    return Rejection{Rejection::kInvalid, FormatFaults(found.faults), std::move(found.faults), {}};
+  Findings findings = Check(candidate.document, request.source);
+  if (!findings.faults.empty()) {
+    return Rejection{Rejection::kInvalid, FormatFaults(findings.faults), std::move(findings.faults), {}};
   }
   const bool from_file = request.source == UpdateSource::kFile;
   if (!from_file) {
     candidate.document = WithProcessLocalKeys(std::move(candidate.document), running.document);
   }
   Transition next;
-  next.warnings = std::move(found.warnings);
-  next.changes = PlanChanges(running.document, candidate.document);
+  next.warnings = std::move(findings.warnings);
+  next.changes = FindChanges(running.document, candidate.document);
   for (const Change& change : next.changes) {
     if (change.activation == Activation::kRestart) next.needs_restart.push_back(change.path);
   }
@@ -275,8 +276,8 @@
   UpdateRequest request;
   request.source = UpdateSource::kAutomaticRollback;
   request.target_revision = state_.provisional->rollback_target;
-  auto answer = Propose(request, now);
-  if (auto* next = std::get_if<Transition>(&answer)) return std::move(*next);
+  auto result = Propose(request, now);
+  if (auto* next = std::get_if<Transition>(&result)) return std::move(*next);
   return std::nullopt;
 }
 
@@ -287,13 +288,13 @@
   Revision& running = next.state.revisions.back();
   running.document = WithProcessLocalKeys(std::move(running.document), state_.Running().document);
   next.content_unchanged = running.id == state_.Running().id;
-  next.changes = PlanChanges(state_.Running().document, running.document);
+  next.changes = FindChanges(state_.Running().document, running.document);
   return next;
 }
 
-void RevisionHistory::RecordRejection(UpdateSource source, std::string why, Timestamp now) {
+void RevisionHistory::RecordRejection(UpdateSource source, std::string reason, Timestamp now) {
   if (rejected_updates_.size() >= kMaxRejectedUpdates) rejected_updates_.erase(rejected_updates_.begin());
-  rejected_updates_.push_back({now.system_s, source, std::move(why)});
+  rejected_updates_.push_back({now.system_s, source, std::move(reason)});
 }
 
 }  // namespace lemonchute::config
--- a/src/config/revisions.h
+++ b/src/config/revisions.h
@@ -52,9 +52,10 @@
 
   // The state of a start with a revision log. The logged state continues where the file is the one that it
   // last applied, or is invalid (null); any other file becomes a further revision.
-  // @param file_wins the logged running document can't be used: the file becomes a revision in any case.
+  // @param always_use_file the logged running document can't be used: the file becomes a revision in any
+  // case.
   static State ResumeFromLog(const State& logged, const nlohmann::json& file, Timestamp now,
-                             bool file_wins = false);
+                             bool always_use_file = false);
 
   // @param initial_settings the settings that the process started with (see CheckConfig).
   RevisionHistory(State state, nlohmann::json initial_settings);
@@ -76,7 +77,7 @@
   std::optional<Transition> AdoptPeerState(const State& peer) const;
 
   void Apply(State&& state) noexcept { state_ = std::move(state); }
-  void RecordRejection(UpdateSource source, std::string why, Timestamp now);
+  void RecordRejection(UpdateSource source, std::string reason, Timestamp now);
 
   const State& state() const { return state_; }
   const std::vector<RejectedUpdate>& rejected_updates() const { return rejected_updates_; }
--- a/src/config/settings_parser.cpp
+++ b/src/config/settings_parser.cpp
@@ -94,38 +94,38 @@
   std::unordered_map<std::string, std::string> values_;
 };
 
-ClassSettings ParseClass(const SettingsReader& in, const std::string& at) {
+ClassSettings ParseClass(const SettingsReader& in, const std::string& prefix) {
   ClassSettings request_class;
-  request_class.latency_objective_s = in.Number(at + "aim-s");
-  request_class.deadline_s = in.Number(at + "hard-limit-s");
+  request_class.latency_objective_s = in.Number(prefix + "aim-s");
+  request_class.deadline_s = in.Number(prefix + "hard-limit-s");
   if (request_class.deadline_s <= 0) {
-    throw ProtocolError("setting is not positive: " + at + "hard-limit-s");
+    throw ProtocolError("setting is not positive: " + prefix + "hard-limit-s");
   }
-  request_class.idempotency_window_s = in.Number(at + "window-s");
-  request_class.priority_weight = in.Number(at + "importance");
-  request_class.late_value_share = in.Number(at + "late-share");
+  request_class.idempotency_window_s = in.Number(prefix + "window-s");
+  request_class.priority_weight = in.Number(prefix + "importance");
+  request_class.late_value_share = in.Number(prefix + "late-share");
   request_class.idempotency =
-      in.Enum<Idempotency>(at + "effect", {{"free", Idempotency::kIdempotent},
-                                           {"guarded", Idempotency::kWithinWindow},
-                                           {"single_shot", Idempotency::kNonIdempotent}});
+      in.Enum<Idempotency>(prefix + "effect", {{"free", Idempotency::kIdempotent},
+                                               {"guarded", Idempotency::kWithinWindow},
+                                               {"single_shot", Idempotency::kNonIdempotent}});
   request_class.idempotency_scope =
-      in.Enum<IdempotencyScope>(at + "dedup-scope", {{"all", IdempotencyScope::kAll},
-                                                     {"zone", IdempotencyScope::kZone},
-                                                     {"cell", IdempotencyScope::kCell}});
+      in.Enum<IdempotencyScope>(prefix + "dedup-scope", {{"all", IdempotencyScope::kAll},
+                                                         {"zone", IdempotencyScope::kZone},
+                                                         {"cell", IdempotencyScope::kCell}});
   return request_class;
 }
 
-PlanSettings ParsePlan(const SettingsReader& in, const std::string& at) {
+PlanSettings ParsePlan(const SettingsReader& in, const std::string& prefix) {
   PlanSettings plan;
-  plan.rate_units_per_s = in.Number(at + "units-per-s");
-  plan.burst_units = in.Number(at + "store-size");
-  plan.ceiling_units_per_s = in.Number(at + "never-over-rate");
-  plan.ceiling_burst_units = in.Number(at + "ceiling-burst");
-  plan.ceiling_slack_units = in.Number(at + "cap-slack");
-  plan.excess_value_share = in.Number(at + "excess-worth");
-  plan.overage_cost = in.Number(at + "over-cost");
-  plan.price = in.Number(at + "value-factor");
-  plan.max_in_flight = in.Integer(at + "parallel");
+  plan.rate_units_per_s = in.Number(prefix + "units-per-s");
+  plan.burst_units = in.Number(prefix + "store-size");
+  plan.ceiling_units_per_s = in.Number(prefix + "never-over-rate");
+  plan.ceiling_burst_units = in.Number(prefix + "ceiling-burst");
+  plan.ceiling_slack_units = in.Number(prefix + "cap-slack");
+  plan.excess_value_share = in.Number(prefix + "excess-worth");
+  plan.overage_cost = in.Number(prefix + "over-cost");
+  plan.price = in.Number(prefix + "value-factor");
+  plan.max_in_flight = in.Integer(prefix + "parallel");
   return plan;
 }
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -308,7 +308,7 @@
 
 std::map<std::string, std::string> Planned(const json& had, const json& has) {
   std::map<std::string, std::string> out;
-  for (const Change& change : PlanChanges(had, has)) {
+  for (const Change& change : FindChanges(had, has)) {
     std::string& text = out[change.path];
     text += (text.empty() ? "" : "; ") + change.kind + ", " + ToString(change.activation);
   }
@@ -357,7 +357,7 @@
   json many = Good();
   for (int i = 0; i < 2000; ++i) many["settings"][Numbered("k", i)] = i;
   many["settings"]["discovery"] = "on_request";
-  std::vector<Change> changes = PlanChanges(Good(), many);
+  std::vector<Change> changes = FindChanges(Good(), many);
   EXPECT_LE(changes.size(), kMaxListedChanges + 1);
   EXPECT_TRUE(std::any_of(changes.begin(), changes.end(),
                           [](const Change& c) { return c.activation == Activation::kRestart; }));
