--- a/src/simulator/adapter_main.cpp
+++ b/src/simulator/adapter_main.cpp
@@ -17,9 +17,9 @@
 // False at a clean end of input; throws when it ends inside a frame.
 bool ReadFrame(std::FILE* in, std::string* frame) {
   frame->resize(4);
-  size_t got = std::fread(frame->data(), 1, 4, in);
-  if (got == 0) return false;
-  if (got < 4) throw ProtocolError("input ends inside a frame length");
+  size_t bytes_read = std::fread(frame->data(), 1, 4, in);
+  if (bytes_read == 0) return false;
+  if (bytes_read < 4) throw ProtocolError("input ends inside a frame length");
   uint32_t size;
   std::memcpy(&size, frame->data(), sizeof(size));
   if (size < 16) throw ProtocolError("frame length " + std::to_string(size) + " is below its header");
@@ -30,14 +30,14 @@
   return true;
 }
 
-class Host {
+class Adapter {
  public:
   void Run(std::FILE* in, std::FILE* out) {
     std::string frame;
     while (ReadFrame(in, &frame)) {
       EventBatch batch = ParseBatch(frame);
       reply_.Reset();
-      for (InstanceEvent& event : batch.events) Handle(batch.now, &event);
+      for (InstanceEvent& event : batch.events) HandleEvent(batch.now, &event);
       const std::string& bytes = reply_.Finish();
       if (std::fwrite(bytes.data(), 1, bytes.size(), out) != bytes.size() || std::fflush(out) != 0) {
         throw ProtocolError("cannot write the reply");
@@ -46,63 +46,64 @@
   }
 
  private:
-  void Handle(double now, InstanceEvent* event) {
+  void HandleEvent(double now, InstanceEvent* event) {
     if (auto* table = std::get_if<EndpointTableEvent>(&event->body)) {
-      tables_[table->bank] = std::move(table->entries);
+      tables_[table->table_number] = std::move(table->entries);
       return;
     }
-    const std::vector<Endpoint>* entries = &no_entries_;
-    if (auto* view = std::get_if<EndpointListEvent>(&event->body);
-        view != nullptr && view->kind != EndpointListKind::kFailed) {
-      if (view->bank > 15 || !tables_[view->bank].has_value()) {
-        throw ProtocolError("view names table " + std::to_string(view->bank) + ", which was never sent");
+    const std::vector<Endpoint>* entries = &no_endpoints_;
+    if (auto* list = std::get_if<EndpointListEvent>(&event->body);
+        list != nullptr && list->kind != EndpointListKind::kFailed) {
+      if (list->table_number > 15 || !tables_[list->table_number].has_value()) {
+        throw ProtocolError("view names table " + std::to_string(list->table_number) +
+                            ", which was never sent");
       }
-      entries = &*tables_[view->bank];
+      entries = &*tables_[list->table_number];
     }
     actions_.clear();
     try {
-      Deliver(now, event, *entries);
+      DispatchToInstance(now, event, *entries);
     } catch (const ProtocolError&) {
       throw;
     } catch (const std::exception& error) {
-      reply_.AppendBroken(event->instance, error.what());
+      reply_.AppendInstanceError(event->instance, error.what());
       return;
     }
     for (const Action& action : actions_) reply_.Append(event->instance, action);
   }
 
-  void Deliver(double now, InstanceEvent* event, const std::vector<Endpoint>& entries) {
-    if (auto* up = std::get_if<StartInstanceEvent>(&event->body)) {
+  void DispatchToInstance(double now, InstanceEvent* event, const std::vector<Endpoint>& entries) {
+    if (auto* start = std::get_if<StartInstanceEvent>(&event->body)) {
       instances_[event->instance] =
-          std::make_unique<Balancer>(ParseSettings(up->settings), up->seed, now, &actions_);
+          std::make_unique<Balancer>(ParseSettings(start->settings), start->seed, now, &actions_);
       return;
     }
     if (std::holds_alternative<ExitEvent>(event->body)) {
       instances_.erase(event->instance);
       return;
     }
-    auto found = instances_.find(event->instance);
-    if (found == instances_.end()) return;  // what belongs to an earlier life is passed over
-    Balancer& balancer = *found->second;
-    if (auto* view = std::get_if<EndpointListEvent>(&event->body)) {
-      balancer.OnEndpointList(now, view->kind, entries, &actions_);
+    auto instance = instances_.find(event->instance);
+    if (instance == instances_.end()) return;  // what belongs to an earlier life is passed over
+    Balancer& balancer = *instance->second;
+    if (auto* list = std::get_if<EndpointListEvent>(&event->body)) {
+      balancer.OnEndpointList(now, list->kind, entries, &actions_);
     } else if (auto* request = std::get_if<Request>(&event->body)) {
       balancer.OnRequest(now, *request, &actions_);
     } else if (auto* outcome = std::get_if<AttemptOutcome>(&event->body)) {
       balancer.OnAttemptOutcome(now, *outcome, &actions_);
-    } else if (auto* begun = std::get_if<ResponseStartedEvent>(&event->body)) {
-      balancer.OnResponseStarted(now, begun->request, -1, &actions_);
-    } else if (auto* gone = std::get_if<ClientGoneEvent>(&event->body)) {
-      balancer.OnClientGone(now, gone->request, &actions_);
-    } else if (auto* tick = std::get_if<TimerEvent>(&event->body)) {
-      balancer.OnTimer(now, tick->tag, &actions_);
-    } else if (auto* count = std::get_if<CounterResponse>(&event->body)) {
-      balancer.OnCounterResponse(now, *count, &actions_);
+    } else if (auto* started = std::get_if<ResponseStartedEvent>(&event->body)) {
+      balancer.OnResponseStarted(now, started->request, -1, &actions_);
+    } else if (auto* client_gone = std::get_if<ClientGoneEvent>(&event->body)) {
+      balancer.OnClientGone(now, client_gone->request, &actions_);
+    } else if (auto* timer = std::get_if<TimerEvent>(&event->body)) {
+      balancer.OnTimer(now, timer->tag, &actions_);
+    } else if (auto* counter_response = std::get_if<CounterResponse>(&event->body)) {
+      balancer.OnCounterResponse(now, *counter_response, &actions_);
     }
   }
 
   std::array<std::optional<std::vector<Endpoint>>, 16> tables_;
-  const std::vector<Endpoint> no_entries_;
+  const std::vector<Endpoint> no_endpoints_;
   std::map<uint32_t, std::unique_ptr<Balancer>> instances_;
   Actions actions_;
   ReplyWriter reply_;
@@ -113,7 +114,7 @@
 
 int main() {
   try {
-    lemonchute::policy::Host().Run(stdin, stdout);
+    lemonchute::policy::Adapter().Run(stdin, stdout);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "lemonchute_adapter: %s\n", error.what());
     return 1;
--- a/src/simulator/protocol_codec.h
+++ b/src/simulator/protocol_codec.h
@@ -23,13 +23,13 @@
 };
 struct ExitEvent {};
 struct EndpointTableEvent {
-  int bank = 0;
+  int table_number = 0;
   std::vector<Endpoint> entries;
 };
 struct EndpointListEvent {
   EndpointListKind kind = EndpointListKind::kSnapshot;
   uint64_t version = 0;
-  int bank = 0;
+  int table_number = 0;
 };
 struct ResponseStartedEvent {
   uint32_t request = 0;
@@ -42,7 +42,7 @@
 };
 struct HealthCheckEvent {
   uint32_t backend = 0;
-  double took_s = 0;
+  double duration_s = 0;
   AttemptResult result = AttemptResult::kOk;
   std::vector<float> load;
 };
@@ -72,7 +72,7 @@
  public:
   ReplyWriter();
   void Append(uint32_t instance, const Action& action);
-  void AppendBroken(uint32_t instance, std::string_view text);
+  void AppendInstanceError(uint32_t instance, std::string_view message);
   const std::string& Finish();
   void Reset();
 
--- a/tests/protocol_codec_test.cpp
+++ b/tests/protocol_codec_test.cpp
@@ -155,7 +155,7 @@
   a.kind = ActionKind::kPollEndpoints;
   EXPECT_EQ(bytes(a), Hex("1004 03000000 01"));
   ReplyWriter w;
-  w.AppendBroken(3, "index out of range");
+  w.AppendInstanceError(3, "index out of range");
   EXPECT_EQ(w.Finish().substr(4), Hex("6004 03000000 1200 696e646578206f7574206f662072616e6765"));
 }
 
