--- a/tests/measure.cpp
+++ b/tests/measure.cpp
@@ -10,7 +10,7 @@
 
 using namespace rig;  // NOLINT
 
-constexpr int kBackends = 200, kCustomers = 20000, kClients = 8, kChanges = 60;
+constexpr int kBackends = 200, kCustomers = 20000, kClients = 8, kUpdates = 60;
 
 double CpuS(const Process& process) {
   std::ifstream in("/proc/" + std::to_string(process.pid()) + "/stat");
@@ -24,13 +24,13 @@
 }
 
 // Each of `requests` is of the next of `customers`.
-int Load(const Process& gateway, int requests, int customers) {
-  std::atomic<int> next{0}, served{0};
+int SendRequests(const Process& gateway, int requests, int customers) {
+  std::atomic<int> next_request{0}, served{0};
   std::vector<std::thread> clients;
   for (int c = 0; c < kClients; ++c) {
     clients.emplace_back([&] {
       auto wire = gateway.Connect();
-      for (int i; (i = next++) < requests;) {
+      for (int i; (i = next_request++) < requests;) {
         std::string request = Request("quote");
         char customer[9];
         std::snprintf(customer, sizeof(customer), "%08x", i % customers + 1);
@@ -47,7 +47,7 @@
   return values[values.size() / 2];
 }
 
-int Measure(const char* program, const std::string& what) {
+int Measure(const char* program, const std::string& figure) {
   Backend backend(Says(Ok("x")));
   json entries = json::array();
   for (int i = 0; i < kBackends; ++i)
@@ -59,56 +59,56 @@
   config["settings"]["specifics"]["may-count"] = false;
   config["settings"]["tiers-of-service"][1]["store-size"] = 8;
   Site site(entries, config, program, 0, environment);
-  int ops = site.gateway->ops_port;
-  Load(*site.gateway, kCustomers, kCustomers);
-  if (what == "cpu") {
-    double before = CpuS(*site.gateway);
-    int served = Load(*site.gateway, 2 * kCustomers, kCustomers);
-    std::printf("%.2f us a request, %d served\n", (CpuS(*site.gateway) - before) * 1e6 / (2 * kCustomers),
-                served);
+  int admin_port = site.gateway->ops_port;
+  SendRequests(*site.gateway, kCustomers, kCustomers);
+  if (figure == "cpu") {
+    double cpu_before_s = CpuS(*site.gateway);
+    int served = SendRequests(*site.gateway, 2 * kCustomers, kCustomers);
+    std::printf("%.2f us a request, %d served\n",
+                (CpuS(*site.gateway) - cpu_before_s) * 1e6 / (2 * kCustomers), served);
     return 0;
   }
   using Clock = std::chrono::steady_clock;
   auto ms = [](Clock::duration d) { return std::chrono::duration<double, std::milli>(d).count(); };
   std::atomic<bool> done{false};
   std::mutex mutex;
-  double longest = 0;  // of a client's wait since it was last asked for
+  double longest_wait_ms = 0;  // of a client's wait since it was last asked for
   std::thread client([&] {
     auto wire = site.gateway->Connect();
     while (!done) {
-      auto begun = Clock::now();
+      auto start = Clock::now();
       Ask(*wire, kReady);
       std::lock_guard lock(mutex);
-      longest = std::max(longest, ms(Clock::now() - begun));
+      longest_wait_ms = std::max(longest_wait_ms, ms(Clock::now() - start));
     }
   });
-  auto taken = [&] {
+  auto take_longest_wait = [&] {
     std::lock_guard lock(mutex);
-    return std::exchange(longest, 0);
+    return std::exchange(longest_wait_ms, 0);
   };
-  json fresh = json::parse(Call(ops, "GET", "/control/config/running").body);
-  std::vector<double> puts, quiet, waits;
-  for (int i = 1; i <= kChanges; ++i) {
-    fresh["settings"]["tiers-of-service"][0]["units-per-s"] = 10 + i % 5;  // every customer's bucket
-    fresh["settings"]["request-classes"][0]["aim-s"] = 1 + i % 2 * 0.1;
-    taken();
+  json updated = json::parse(Call(admin_port, "GET", "/control/config/running").body);
+  std::vector<double> update_ms, idle_wait_ms, update_wait_ms;
+  for (int i = 1; i <= kUpdates; ++i) {
+    updated["settings"]["tiers-of-service"][0]["units-per-s"] = 10 + i % 5;  // every customer's bucket
+    updated["settings"]["request-classes"][0]["aim-s"] = 1 + i % 2 * 0.1;
+    take_longest_wait();
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
-    quiet.push_back(taken());
-    auto begun = Clock::now();
-    Message answer = Call(ops, "PUT", "/control/config?base=" + std::to_string(i), fresh.dump());
-    puts.push_back(ms(Clock::now() - begun));
-    waits.push_back(taken());
+    idle_wait_ms.push_back(take_longest_wait());
+    auto start = Clock::now();
+    Message answer = Call(admin_port, "PUT", "/control/config?base=" + std::to_string(i), updated.dump());
+    update_ms.push_back(ms(Clock::now() - start));
+    update_wait_ms.push_back(take_longest_wait());
     if (answer.status() != 200) std::printf("put: %s\n", answer.body.c_str());
   }
   done = true;
   client.join();
-  auto line = [](const char* name, const std::vector<double>& values) {
+  auto print_summary = [](const char* name, const std::vector<double>& values) {
     std::printf("%s: median %.2f ms, longest %.2f ms of %zu\n", name, Median(values),
                 *std::max_element(values.begin(), values.end()), values.size());
   };
-  line("a put from call to answer", puts);
-  line("a client's wait in that time", waits);
-  line("a client's wait in 20 ms without one", quiet);
+  print_summary("a put from call to answer", update_ms);
+  print_summary("a client's wait in that time", update_wait_ms);
+  print_summary("a client's wait in 20 ms without one", idle_wait_ms);
   return 0;
 }
 
