--- a/src/config/changes.cpp
+++ b/src/config/changes.cpp
@@ -13,7 +13,7 @@
 
 using nlohmann::json;
 
-// Changes of these need a restart.
+// Values that can't change while the process runs.
 // /name: logs and operators identify the process by it.
 // /listen: a listening socket can't be closed without resetting the connections in its accept queue.
 // /ops: during an upgrade each process has its own admin endpoint.
@@ -86,7 +86,7 @@
     }
   }
 
-  // The first element of each name, as all readers of the settings take it.
+  // Maps each name to its first element, which is also the one that all readers of the settings use.
   static NameIndex IndexByName(const json& list) {
     NameIndex index;
     for (const json& element : list) {
--- a/src/config/check_extensions.cpp
+++ b/src/config/check_extensions.cpp
@@ -1,4 +1,4 @@
-// Checks `extensions`: one key for each optional part of the program.
+// Checks `extensions`: one key for each optional feature.
 #include <optional>
 #include <set>
 #include <string>
@@ -11,12 +11,12 @@
 
 using nlohmann::json;
 
-// Of a gateway's datagram rate. Below it a gateway at the fleet's size limit probes less often than every
-// 2 s.
+// Share of a gateway's datagram rate. Below the minimum, a gateway in a fleet of the maximum size probes less
+// often than every 2 s.
 constexpr double kMinMembershipShare = 0.05;
 constexpr double kMaxMembershipShare = 1;
-constexpr double kMinPeerRatePerS = 1, kMaxPeerRatePerS = 1e6;  // datagrams
-constexpr size_t kMaxPeers = 8192;                              // bound of the datagram format
+constexpr double kMinPeerRatePerS = 1, kMaxPeerRatePerS = 1e6;  // in datagrams
+constexpr size_t kMaxPeers = 8192;                              // limit of the datagram format
 
 enum class PortRule { kAny, kFixed };
 
@@ -51,7 +51,7 @@
                   "must be a number from 1 to 1000000 for extensions.membership");
 }
 
-// One distinct address for each gateway that the settings count.
+// There must be one distinct address for each of the settings' `peers-total` gateways.
 void CheckPeers(const json& peers, const json& settings, FaultReporter* reporter) {
   auto total = FindNumber(settings, "peers-total");
   auto self = FindNumber(settings, "me");
@@ -71,7 +71,7 @@
   }
 }
 
-// Besides its own key, membership needs peer addresses and a datagram rate.
+// Membership needs peer addresses and a datagram rate in addition to its own key.
 void CheckMembership(const json& membership, const json& document, FaultReporter* reporter) {
   if (!membership.is_object()) return reporter->WrongType("/extensions/membership", "an object", membership);
   CheckMembershipFields(membership, reporter);
--- a/src/config/check_initial_endpoints.cpp
+++ b/src/config/check_initial_endpoints.cpp
@@ -21,6 +21,7 @@
   return names;
 }
 
+// Findings are faults at a start and questionable afterwards, when the list is no longer read.
 class InitialEndpointsCheck {
  public:
   InitialEndpointsCheck(const json& settings, bool started, FaultReporter* reporter)
@@ -85,6 +86,7 @@
     }
   }
 
+  // An unknown zone or type is a warning, for either author.
   void CheckListed(const json& endpoint, const std::string& path, const char* key,
                    const std::set<std::string>& names) {
     const std::string* name = FindText(endpoint, path, key, Presence::kOptional);
--- a/src/config/check_process.cpp
+++ b/src/config/check_process.cpp
@@ -69,7 +69,7 @@
   return ParseHostPort(field->get_ref<const std::string&>());
 }
 
-// Port 0 stands for any free port, so it equals no other.
+// Port 0 stands for any free port, so it conflicts with no other.
 bool SameEndpoint(const std::optional<HostPort>& left, const std::optional<HostPort>& right) {
   return left && right && left->port != 0 && left->port == right->port && left->host == right->host;
 }
--- a/src/config/check_settings.cpp
+++ b/src/config/check_settings.cpp
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-constexpr size_t kMaxTableEntries = 255;  // a class is one byte in the simulator's protocol
+constexpr size_t kMaxTableEntries = 255;  // the simulator's protocol has one byte for a class
 
 constexpr auto kTopFields = std::to_array<FieldRule>({
     {"me", FieldType::kInteger, Range::kNotNegative, true},
@@ -76,7 +76,7 @@
                                   {"limits", kLimitsFields},
                                   {"invariants", kInvariantsFields}};
 
-// A list of texts, none of which occurs twice.
+// Checks a list of distinct texts.
 void CheckNameList(const json& settings, const char* key, FaultReporter* reporter) {
   const json* names = RequireList(settings, "/settings", key, reporter);
   if (names == nullptr) return;
@@ -86,7 +86,8 @@
   }
 }
 
-// A list of objects with unique names. Null where it is no list or too long.
+// Checks a list of objects with distinct names.
+// @return null if it is not a list or too long.
 const json* CheckTable(const json& settings, const char* key, std::span<const FieldRule> fields,
                        FaultReporter* reporter) {
   const json* table = RequireList(settings, "/settings", key, reporter);
@@ -125,7 +126,7 @@
   }
 }
 
-// A bucket smaller than the largest request would never admit that request.
+// A token bucket smaller than the largest request would never admit that request.
 void CheckPlan(const json& plan, const json& settings, const std::string& path, FaultReporter* reporter) {
   auto specifics = settings.find("specifics");
   auto largest_units = specifics == settings.end() ? std::nullopt : FindNumber(*specifics, "units-top");
@@ -152,7 +153,7 @@
   }
 }
 
-// Settings that let the gateway use the shared counter need the counter's address.
+// The shared counter can only be used if its address is configured.
 void CheckCounter(const json& settings, const json& document, FaultReporter* reporter) {
   auto specifics = settings.find("specifics");
   const bool uses_counter = specifics != settings.end() && specifics->is_object() &&
--- a/src/config/check_shape.cpp
+++ b/src/config/check_shape.cpp
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-// The fields that all objects of a list have, with the values of the first.
+// The fields that all objects of a list have, with the values of the first object.
 json CommonElement(const json& list) {
   json common = list.front();
   for (const json& element : list) {
@@ -22,6 +22,7 @@
   return common;
 }
 
+// Skips a path for which another check has reported a fault already.
 void ReportOnce(const std::string& path, std::string message, FaultReporter* reporter) {
   if (!reporter->HasFaultAt(path)) reporter->Fault(path, std::move(message));
 }
--- a/src/config/document.cpp
+++ b/src/config/document.cpp
@@ -8,11 +8,11 @@
 using nlohmann::json;
 
 constexpr size_t kMaxLineBytes = 2000;
-// Bounds the repeated parsing that reports several numbers out of range at once.
+// Bound the repeated parsing that reports several out-of-range numbers at once.
 constexpr size_t kMaxReparses = 16, kMaxReparsedBytes = kMaxDocumentBytes;
 
-// Builds the value and reports what the parser accepts silently: duplicate keys and deep nesting. Has its own
-// stack, so that nesting takes none of the thread's.
+// Builds the value and reports what the parser accepts silently: duplicate keys and deep nesting. Keeps an
+// explicit stack, so that nesting does not use the thread's stack.
 class DocumentBuilder : public nlohmann::json_sax<json> {
  public:
   bool null() override { return AddScalar(nullptr); }
@@ -59,7 +59,7 @@
     std::string key;
   };
 
-  // Path of the open object or list; NextValuePath() is that of the next value in it.
+  // Path of the innermost open object or list; NextValuePath() is that of the next value in it.
   std::string ContainerPath() const {
     std::string path;
     for (size_t i = 0; i + 1 < stack_.size(); ++i) path = ElementPath(path, stack_[i], true);
@@ -68,7 +68,8 @@
   std::string NextValuePath() const {
     return stack_.empty() ? "" : ElementPath(ContainerPath(), stack_.back(), false);
   }
-  // @param added whether the list's current element is in it already (it is while it is open itself).
+  // @param added whether the list contains its current element already, as it does while that element is
+  // open.
   static std::string ElementPath(const std::string& path, const Level& level, bool added) {
     if (level.value->is_object()) return ChildPath(path, level.key);
     return ChildPath(path, level.value->size() - (added ? 1 : 0));
@@ -158,8 +159,8 @@
   for (size_t reparses = 0;; ++reparses) {
     DocumentBuilder builder;
     bool complete = json::sax_parse(text, &builder);
-    // A number out of range ends the parsing. It is replaced by 0 and the text parsed again, so that one
-    // answer reports all faults.
+    // A number out of range aborts the parsing. It is replaced by 0 and the text parsed again, so that one
+    // response reports all faults.
     if (!complete && builder.overflow_end >= builder.overflow_size && builder.overflow_size > 0 &&
         builder.overflow_end <= text.size() && reparses < kMaxReparses &&
         reparses * text.size() < kMaxReparsedBytes) {
--- a/src/config/field_checks.cpp
+++ b/src/config/field_checks.cpp
@@ -9,7 +9,7 @@
 
 using nlohmann::json;
 
-constexpr double kMaxInteger = 1e9;  // the settings parser's bound
+constexpr double kMaxInteger = 1e9;  // the settings parser's limit
 
 const json* RequireField(const json& parent, const std::string& path, const char* key,
                          FaultReporter* reporter) {
--- a/src/config/field_checks.h
+++ b/src/config/field_checks.h
@@ -1,4 +1,5 @@
-// Checks of single JSON fields, shared by the checks of the configuration's sections. Internal to src/config.
+/// Checks of single JSON fields, shared by the checks of the configuration's sections. Internal to
+/// src/config.
 #ifndef LEMONCHUTE_CONFIG_FIELD_CHECKS_H_
 #define LEMONCHUTE_CONFIG_FIELD_CHECKS_H_
 
@@ -13,14 +14,14 @@
 
 namespace lemonchute::config {
 
-// Collects what the checks find. Not owned: `findings` must outlive the reporter.
+/// Collects the findings of the checks. Does not own `findings`, which must outlive the reporter.
 class FaultReporter {
  public:
   FaultReporter(Author author, Findings* findings) : author_(author), findings_(findings) {}
 
-  // A fault whoever wrote the configuration.
+  /// Reports a fault, whoever wrote the configuration.
   void Fault(std::string path, std::string message);
-  // A warning for the platform's configuration, a fault for an operator's (see Author).
+  /// Reports a warning for the platform's configuration, a fault for an operator's (see Author).
   void Questionable(std::string path, std::string message);
   void Warning(std::string path, std::string message);
   void WrongType(const std::string& path, const char* expected, const nlohmann::json& actual);
@@ -34,8 +35,8 @@
 enum class FieldType { kText, kNumber, kInteger, kBoolean };
 enum class Range { kAny, kNotNegative, kPositive };
 
-// A required field. A value outside `range` is a fault for either author where `strict` (a value that the
-// program can't run with), and otherwise a doubt.
+/// A required field. A value outside `range` is a fault for either author if `strict` (the program can't run
+/// with it), and otherwise questionable.
 struct FieldRule {
   const char* key;
   FieldType type;
@@ -43,10 +44,10 @@
   bool strict = false;
 };
 
-// "an object", "a list", ...: the value's type as messages name it.
+/// The value's type as messages name it: "an object", "a list", ...
 const char* TypeName(const nlohmann::json& value);
 
-// The field if it has the wanted type. Null after a reported fault: missing, or of another type.
+/// Returns the field if it is present with the required type; otherwise reports a fault and returns null.
 const nlohmann::json* RequireText(const nlohmann::json& parent, const std::string& path, const char* key,
                                   FaultReporter* reporter);
 const nlohmann::json* RequireObject(const nlohmann::json& parent, const std::string& path, const char* key,
@@ -54,14 +55,16 @@
 const nlohmann::json* RequireList(const nlohmann::json& parent, const std::string& path, const char* key,
                                   FaultReporter* reporter);
 
-// The field if `parent` is an object that has it as a number. Reports nothing.
+/// Returns the field if `parent` is an object that has it as a number. Reports nothing.
 std::optional<double> FindNumber(const nlohmann::json& parent, const char* key);
 
+/// Checks that each field is present and follows its rule.
 void CheckFields(const nlohmann::json& parent, const std::string& path, std::span<const FieldRule> rules,
                  FaultReporter* reporter);
+/// Checks that the field is one of the `allowed` texts.
 void CheckEnum(const nlohmann::json& parent, const std::string& path, const char* key,
                std::initializer_list<const char*> allowed, FaultReporter* reporter);
-// A text that is not empty and not in `seen` yet, to which it is added.
+/// Checks that the name is a text, not empty, and not in `seen`; adds it to `seen`.
 void CheckUniqueName(const nlohmann::json& name, const std::string& path, std::set<std::string>* seen,
                      FaultReporter* reporter);
 
--- a/src/config/host_port.h
+++ b/src/config/host_port.h
@@ -1,4 +1,4 @@
-// Host and port pairs as the configuration writes them.
+/// Host and port pairs as the configuration writes them.
 #ifndef LEMONCHUTE_CONFIG_HOST_PORT_H_
 #define LEMONCHUTE_CONFIG_HOST_PORT_H_
 
@@ -14,8 +14,8 @@
   uint16_t port = 0;
 };
 
-// Parses "10.0.0.4:5000" or "[::1]:5000".
-// @return nothing for any other text. Host names are not resolved.
+/// Parses "10.0.0.4:5000" or "[::1]:5000".
+/// @return nothing for any other text. Host names are not resolved.
 std::optional<HostPort> ParseHostPort(std::string_view text);
 
 }  // namespace lemonchute::config
--- a/src/config/revision_codec.cpp
+++ b/src/config/revision_codec.cpp
@@ -45,7 +45,7 @@
     if (text == ToString(source)) return source;
   }
   constexpr int kOtherError = 501;
-  throw json::other_error::create(kOtherError, "unknown origin", nullptr);
+  throw json::other_error::create(kOtherError, "unknown update source", nullptr);
 }
 
 Revision RevisionFromJson(const json& in) {
@@ -93,7 +93,7 @@
          std::isfinite(provisional.started.system_s) && std::isfinite(provisional.started.steady_s);
 }
 
-// Revision numbers grow, and the running revision is the last one and has its document.
+// Revision numbers increase, and the running revision is the last one and has its document.
 bool IsConsistent(const State& state) {
   if (state.revisions.empty() || state.revisions.size() > kMaxRevisions) return false;
   const Revision& last = state.revisions.back();
--- a/src/config/revisions.cpp
+++ b/src/config/revisions.cpp
@@ -33,14 +33,14 @@
   state->file_counter = Member(document, "counter");
 }
 
-// The list to start with if the file is broken at the next start.
+// The endpoint list to start with if the file is invalid at the next start. A large one is not stored.
 json StoredInitialEndpoints(const json& document) {
   json known = Member(document, "known");
   return known.dump().size() <= kMaxInitialEndpointsBytes ? known : json();
 }
 
-// Bounds the history by number, and the documents of revisions that are neither running nor the rollback
-// target by their size.
+// Bounds the number of revisions, and the total size of the documents of revisions that are neither running
+// nor the rollback target.
 void TrimHistory(State* state) {
   auto needed = [&](uint64_t number) {
     return number == state->running || (state->provisional && number == state->provisional->rollback_target);
@@ -68,7 +68,7 @@
   return "";
 }
 
-// Adds a revision that runs from now on.
+// Adds a revision and makes it the running one.
 // @return its number.
 uint64_t AddRevision(State* state, json document, UpdateSource source, uint64_t restored_from,
                      double time_s) {
@@ -87,7 +87,7 @@
   return state->running;
 }
 
-// Process-local keys are this process's, even in a document of another process.
+// Takes the process-local keys from `own`: another process's document has other values for them.
 json WithProcessLocalKeys(json document, const json& own) {
   for (const char* key : {"seed", "ops"}) {
     document.erase(key);
@@ -96,15 +96,15 @@
   return document;
 }
 
-// By the monotonic clock, which changes of the system's time don't affect. A reboot restarts it, and then
-// only the system's time is left.
+// Measured by the monotonic clock, which steps of the wall clock don't affect. A reboot restarts it; only the
+// wall clock can be used then.
 double ElapsedS(const ProvisionalRevision& provisional, Timestamp now) {
   double elapsed_s = now.steady_s - provisional.started.steady_s;
   if (elapsed_s < 0) elapsed_s = now.system_s - provisional.started.system_s;
   return std::clamp(elapsed_s, 0.0, provisional.confirm_within_s);
 }
 
-// Turns the faults that `running` has as warnings already into warnings: they are no mistake of this update.
+// Turns the faults that the running document has already into warnings: this update did not introduce them.
 void DowngradeRunningFaults(const std::vector<Fault>& running, Findings* findings) {
   auto downgraded = std::stable_partition(
       findings->faults.begin(), findings->faults.end(),
@@ -169,7 +169,7 @@
     return Reject(Rejection::kNoChange, RevisionText(target->number) + " runs already");
   }
   Candidate candidate{target->document, target->number};
-  // A rollback keeps the addresses of discovery and counter that the platform named since: once it has moved
+  // A rollback keeps addresses of discovery and counter that the platform has set since: once it has moved
   // them, the old ones accept no connections.
   if (state_.file_revision > target->number) {
     candidate.document["discovery"] = state_.file_discovery;
@@ -178,7 +178,7 @@
   return candidate;
 }
 
-// A rollback is checked as the platform's configuration: what ran once may run again.
+// A rollback is checked as strictly as the platform's configuration: what ran once may run again.
 Findings RevisionHistory::Check(const json& document, UpdateSource source) const {
   if (source != UpdateSource::kOperatorUpdate) {
     return CheckConfig(document, Author::kPlatform, initial_settings_);
@@ -198,7 +198,7 @@
   next->content_unchanged = ContentId(document) == running.id;
   uint64_t number = state_.running;
   if (next->content_unchanged) {
-    next->state.provisional.reset();  // asking for it once more confirms it
+    next->state.provisional.reset();  // requesting the running content again confirms it
     next->state.revisions.back().outcome = "running";
   } else {
     number =
--- a/src/config/settings_parser.cpp
+++ b/src/config/settings_parser.cpp
@@ -12,7 +12,7 @@
 
 constexpr double kMaxInteger = 1e9;
 
-// The values of the lines by path.
+// Looks up the values of the lines by path.
 class SettingsReader {
  public:
   explicit SettingsReader(std::string_view text) {
@@ -72,7 +72,7 @@
     return parts;
   }
 
-  // The names of a list's entries: LIST.count, LIST.0.name, LIST.1.name, ...
+  // Returns the names of a list's entries: LIST.count, LIST.0.name, LIST.1.name, ...
   std::vector<std::string> EntryNames(const std::string& list) const {
     std::vector<std::string> names;
     const int count = Integer(list + ".count");
--- a/src/config/settings_parser.h
+++ b/src/config/settings_parser.h
@@ -1,5 +1,5 @@
-// Parses the settings' flat form, lines of path=value, into the policy's settings. The only place that maps
-// the operators' names to the code's.
+/// Parses the settings' flat form, lines of path=value, into the policy's settings. The only place that maps
+/// the operators' keys to the code's field names.
 #ifndef LEMONCHUTE_CONFIG_SETTINGS_PARSER_H_
 #define LEMONCHUTE_CONFIG_SETTINGS_PARSER_H_
 
@@ -12,19 +12,19 @@
 
 namespace lemonchute::policy {
 
-// @throws ProtocolError naming the setting that is missing or unreadable.
+/// @throws ProtocolError naming the setting that is missing or unreadable.
 Settings ParseSettings(std::string_view text);
 
-// What a gateway needs of the same lines beside the policy's settings: names and the limits of sockets.
+/// Settings from the same lines that the policy doesn't use: names, and the limits of connections.
 struct SocketSettings {
-  std::vector<std::string> classes, plans, zones, kinds;  // names by index
+  std::vector<std::string> classes, plans, zones, kinds;  ///< Names by index.
   double connection_idle_s = 0;
   double connect_timeout_s = 0;
   double drain_grace_s = 0;
-  bool discovery_pushes = false;  // what discovery's agent has counts as known here, whether asked for or not
+  bool discovery_pushes = false;  ///< The agent's endpoint list counts as known here, asked for or not.
 };
 
-// @throws ProtocolError naming the setting that is missing or unreadable.
+/// @throws ProtocolError naming the setting that is missing or unreadable.
 SocketSettings ParseSocketSettings(std::string_view text);
 
 }  // namespace lemonchute::policy
