--- a/src/simulator/adapter_main.cpp
+++ b/src/simulator/adapter_main.cpp
@@ -1,4 +1,5 @@
-// Adapter: hosts one Balancer for each instance on the bench's wire (standard input and output).
+// Connects the decision module to a simulator: hosts one Balancer for each instance and speaks the
+// simulator's protocol on standard input and output.
 #include <cstdio>
 #include <cstring>
 #include <exception>
@@ -14,7 +15,8 @@
 namespace lemonchute::policy {
 namespace {
 
-// False at a clean end of input; throws when it ends inside a frame.
+// @return false at the end of input.
+// @throws ProtocolError if the input ends inside a frame or the frame's length is invalid.
 bool ReadFrame(std::FILE* in, std::string* frame) {
   frame->resize(4);
   size_t bytes_read = std::fread(frame->data(), 1, 4, in);
@@ -30,6 +32,7 @@
   return true;
 }
 
+// Runs the instances: replies to each frame of events with a frame of their actions.
 class Adapter {
  public:
   void Run(std::FILE* in, std::FILE* out) {
@@ -61,6 +64,7 @@
       entries = &*tables_[list->table_number];
     }
     actions_.clear();
+    // A ProtocolError ends the program. Any other exception is reported as this instance's error.
     try {
       DispatchToInstance(now, event, *entries);
     } catch (const ProtocolError&) {
@@ -72,6 +76,7 @@
     for (const Action& action : actions_) reply_.Append(event->instance, action);
   }
 
+  // The decision module has no use for health checks and peer messages, so they are dropped.
   void DispatchToInstance(double now, InstanceEvent* event, const std::vector<Endpoint>& entries) {
     if (auto* start = std::get_if<StartInstanceEvent>(&event->body)) {
       instances_[event->instance] =
@@ -83,7 +88,7 @@
       return;
     }
     auto instance = instances_.find(event->instance);
-    if (instance == instances_.end()) return;  // what belongs to an earlier life is passed over
+    if (instance == instances_.end()) return;  // an event for an instance that has ended
     Balancer& balancer = *instance->second;
     if (auto* list = std::get_if<EndpointListEvent>(&event->body)) {
       balancer.OnEndpointList(now, list->kind, entries, &actions_);
--- a/src/simulator/protocol_codec.cpp
+++ b/src/simulator/protocol_codec.cpp
@@ -10,6 +10,7 @@
 
 static_assert(sizeof(float) == 4 && sizeof(double) == 8);
 
+// Reads the fields of a frame in order. Throws ProtocolError naming the field that the frame ends in.
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : bytes_(bytes) {}
@@ -79,6 +80,8 @@
   return endpoint;
 }
 
+// Event codes and layouts are those of the protocol specification (PROTOCOL). Fields that the balancer does
+// not use are read and dropped.
 InstanceEvent ReadEvent(Reader* in) {
   uint16_t code = in->Read<uint16_t>("event code");
   InstanceEvent event;
--- a/src/simulator/protocol_codec.h
+++ b/src/simulator/protocol_codec.h
@@ -1,4 +1,7 @@
-// Encodes and decodes the frames of the simulator's protocol. No decisions.
+/// Encodes and decodes the frames of the simulator's protocol (PROTOCOL). Makes no decisions.
+///
+/// A request frame is its length, the clock and a batch of events, each for one balancer instance. A reply
+/// frame is its length and the actions of the instances. Numbers are copied in the machine's byte order.
 #ifndef LEMONCHUTE_SIMULATOR_PROTOCOL_CODEC_H_
 #define LEMONCHUTE_SIMULATOR_PROTOCOL_CODEC_H_
 
@@ -15,17 +18,22 @@
 
 namespace lemonchute::policy {
 
+/// Longer frames are rejected.
 inline constexpr size_t kMaxFrameBytes = size_t{1} << 28;
 
+/// Starts an instance, in place of an earlier one with the same number.
 struct StartInstanceEvent {
   uint64_t seed = 0;
-  std::string settings;
+  std::string settings;  ///< Lines of path=value (ParseSettings).
 };
+/// Ends an instance.
 struct ExitEvent {};
+/// Stores an endpoint table for later EndpointListEvents of any instance.
 struct EndpointTableEvent {
   int table_number = 0;
   std::vector<Endpoint> entries;
 };
+/// Tells an instance its endpoints, by the number of a table that was sent before.
 struct EndpointListEvent {
   EndpointListKind kind = EndpointListKind::kSnapshot;
   uint64_t version = 0;
@@ -51,28 +59,34 @@
   std::string bytes;
 };
 
+/// One event and the instance that it is for.
 struct InstanceEvent {
-  uint32_t instance = 0;  // of no meaning for a table
+  uint32_t instance = 0;  ///< Unused for EndpointTableEvent.
   std::variant<StartInstanceEvent, ExitEvent, EndpointTableEvent, EndpointListEvent, Request,
                ResponseStartedEvent, AttemptOutcome, ClientGoneEvent, TimerEvent, HealthCheckEvent,
                PeerMessageEvent, CounterResponse>
       body;
 };
 
+/// The content of one request frame.
 struct EventBatch {
-  double now = 0;
+  double now = 0;  ///< The simulator's clock, in seconds.
   std::vector<InstanceEvent> events;
 };
 
-// Parses one whole frame, length field included.
+/// Parses one complete frame, including its length field.
+/// @throws ProtocolError naming the field that is missing or invalid.
 EventBatch ParseBatch(std::string_view frame);
 
-// Reply frames: begin with an empty body, append actions, then Finish puts the length in front.
+/// Builds reply frames: Reset starts an empty one, the Append functions add to it, and Finish sets its
+/// length.
 class ReplyWriter {
  public:
   ReplyWriter();
   void Append(uint32_t instance, const Action& action);
+  /// Reports that an instance threw an exception while it handled an event.
   void AppendInstanceError(uint32_t instance, std::string_view message);
+  /// @return the complete frame, valid until the next Append or Reset.
   const std::string& Finish();
   void Reset();
 
