--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,4 +1,5 @@
-// The configuration without sockets: reading, checking, planning, and the revisions on a manual clock.
+// Tests of the configuration without sockets: parsing, checks, changes, merging, and revisions on a manual
+// clock.
 #include "net/config.h"
 
 #include <gtest/gtest.h>
@@ -33,7 +34,7 @@
           {"ceiling-burst", 80.0}, {"cap-slack", 8.0},    {"excess-worth", 0.0}, {"over-cost", 0.8},
           {"value-factor", 1.0},   {"parallel", 0}};
 }
-// A sound file, as the platform writes one.
+// A valid configuration file, as the platform writes it.
 json ValidDocument() {
   return {{"name", "n3"},
           {"listen", "127.0.0.1:5000"},
@@ -156,7 +157,7 @@
     Document document = ReadDocument(mutated);
     if (!document.faults.empty()) continue;
     Findings findings = CheckConfig(document.value, Author::kPlatform);
-    if (findings.faults.empty()) ParseConfig(document.value);  // what is found sound can be taken
+    if (findings.faults.empty()) ParseConfig(document.value);  // a document without faults can be applied
   }
 }
 
@@ -187,7 +188,8 @@
                "/extensions/membersip", "/known/endpoints/0/status"}));
 }
 
-// A slip of an operator's is a doubt in the platform's file, which is not turned down for it.
+// What is a mistake in an operator's update is only a warning in the platform's file, which is not rejected
+// for it.
 TEST(Check, QuestionableValuesAreFaultsForOperatorsAndWarningsForThePlatform) {
   const std::vector<std::pair<const char*, json>> questionable = {
       {"/settings/request-classes/0/aim-s", 4.0},
@@ -242,8 +244,8 @@
   }
 }
 
-// Every key of a good file, bent in every way in turn: it is turned down with its place named, or can be
-// taken whole.
+// Each key of a valid file is set to each of several values and removed. The result is rejected with its path
+// named, or can be applied.
 TEST(Check, EachMutationIsAcceptedOrRejectedWithItsPath) {
   const json valid = ValidDocument();
   std::vector<std::string> pointers;
@@ -267,7 +269,7 @@
   Config running = ParseConfig(valid);
   int accepted = 0, rejected = 0;
   auto check_mutation = [&](const json& mutated, const std::string& pointer) {
-    // A key that two others refer to may be named at one of those.
+    // A mutation that conflicts with another key may be reported at that key's path.
     Findings findings = CheckConfig(mutated, Author::kPlatform, valid["settings"]);
     if (findings.faults.empty()) {
       MergeSettings(running, ParseConfig(mutated), {});
@@ -366,7 +368,7 @@
                           [](const Change& c) { return c.activation == Activation::kRestart; }));
 }
 
-// The revisions on a manual clock, with a holder that takes whatever comes next.
+// A RevisionHistory on a manual clock. Applies every transition that the history proposes.
 struct HistoryHarness {
   explicit HistoryHarness(const json& file = ValidDocument())
       : now{1000, 50}, revisions(RevisionHistory::StartFromFile(file, now), file["settings"]) {}
@@ -422,8 +424,8 @@
   EXPECT_EQ(revisions[2].outcome, "rolled back");
   EXPECT_EQ(revisions[3].restored_from, 2u);
   EXPECT_EQ(revisions[3].id, revisions[1].id);
-  EXPECT_TRUE(history.ApplyFile(WithMaxAttempts(5))) << "what runs already is taken";
-  EXPECT_EQ(history.Running(), 4u) << "and is no new revision";
+  EXPECT_TRUE(history.ApplyFile(WithMaxAttempts(5))) << "the content that runs already is accepted";
+  EXPECT_EQ(history.Running(), 4u) << "without a new revision";
 }
 
 TEST(RevisionHistory, RejectsStaleInvalidAndUnavailableUpdates) {
@@ -448,7 +450,7 @@
   EXPECT_EQ(history.MaxAttempts(), 5);
 }
 
-// A doubt of the platform's own is no reason to turn down an operator's change to something else.
+// A questionable value that the platform has configured must not block an operator's change to another key.
 TEST(RevisionHistory, AnOperatorUpdateMayKeepQuestionableValuesThatRunAlready) {
   json questionable = WithValue("/settings/request-classes/0/aim-s", 9);
   HistoryHarness history(questionable);
@@ -479,7 +481,7 @@
   EXPECT_EQ(history.Running(), 3u);
   EXPECT_EQ(history.MaxAttempts(), 6);
   EXPECT_EQ(history.revisions.state().revisions[1].outcome, "returned");
-  EXPECT_FALSE(history.RollbackIfExpired()) << "once";
+  EXPECT_FALSE(history.RollbackIfExpired()) << "a trial is rolled back once";
 
   EXPECT_TRUE(history.ApplyOperatorUpdate(WithMaxAttempts(5), 10));
   EXPECT_TRUE(std::holds_alternative<Rejection>(history.revisions.Confirm(3)));
@@ -488,7 +490,7 @@
   history.AdvanceClock(100);
   EXPECT_FALSE(history.RollbackIfExpired());
   EXPECT_EQ(history.MaxAttempts(), 5);
-  EXPECT_TRUE(std::holds_alternative<Rejection>(history.revisions.Confirm(4))) << "nothing on trial";
+  EXPECT_TRUE(std::holds_alternative<Rejection>(history.revisions.Confirm(4))) << "no revision is on trial";
 }
 
 TEST(RevisionHistory, AFileUpdateEndsATrial) {
@@ -499,7 +501,7 @@
   EXPECT_FALSE(history.RollbackIfExpired());
   EXPECT_EQ(history.MaxAttempts(), 4);
   EXPECT_TRUE(history.ApplyOperatorUpdate(WithMaxAttempts(3), 10));
-  EXPECT_TRUE(history.ApplyFile(WithMaxAttempts(3))) << "the same as is on trial";
+  EXPECT_TRUE(history.ApplyFile(WithMaxAttempts(3))) << "the content that is on trial";
   history.AdvanceClock(100);
   EXPECT_FALSE(history.RollbackIfExpired());
   EXPECT_EQ(history.MaxAttempts(), 3);
@@ -513,7 +515,7 @@
   EXPECT_TRUE(history.RollbackIfExpired());
   EXPECT_EQ(history.MaxAttempts(), 5);
   history.AdvanceClock(11);
-  EXPECT_FALSE(history.RollbackIfExpired()) << "the second put took the first one for good";
+  EXPECT_FALSE(history.RollbackIfExpired()) << "the second update made the first one permanent";
 }
 
 TEST(RevisionHistory, ARollbackKeepsAddressesThatThePlatformChangedSince) {
@@ -521,11 +523,12 @@
   EXPECT_TRUE(history.ApplyOperatorUpdate(WithValue("/discovery", "127.0.0.1:1", WithMaxAttempts(5)), 10));
   history.AdvanceClock(11);
   EXPECT_TRUE(history.RollbackIfExpired());
-  EXPECT_EQ(history.Document()["discovery"], ValidDocument()["discovery"]) << "an operator's move is undone";
+  EXPECT_EQ(history.Document()["discovery"], ValidDocument()["discovery"])
+      << "the operator's change is undone";
   EXPECT_TRUE(history.ApplyFile(WithValue("/discovery", "127.0.0.1:8502", WithMaxAttempts(4))));
   EXPECT_TRUE(history.RollBack(1));
   EXPECT_EQ(history.MaxAttempts(), 6);
-  EXPECT_EQ(history.Document()["discovery"], "127.0.0.1:8502") << "where the platform has moved it";
+  EXPECT_EQ(history.Document()["discovery"], "127.0.0.1:8502") << "the platform's later address is kept";
 }
 
 TEST(RevisionHistory, TrialTimeSurvivesWallClockStepsAndReboots) {
@@ -540,14 +543,14 @@
     EXPECT_TRUE(restarted.RollbackIfExpired());
     EXPECT_EQ(restarted.MaxAttempts(), 6);
   }
-  // The machine has been started anew: the steady clock is another one.
+  // After a reboot the monotonic clock has restarted.
   HistoryHarness history;
   EXPECT_TRUE(history.ApplyOperatorUpdate(WithMaxAttempts(5), 10));
   HistoryHarness restarted(history.revisions.state(), {history.now.system_s + 4, 3});
   EXPECT_NEAR(*restarted.revisions.ConfirmationTimeLeftS(restarted.now), 6, 1e-9);
   HistoryHarness stepped(history.revisions.state(), {history.now.system_s - 4000, 3});
   EXPECT_NEAR(*stepped.revisions.ConfirmationTimeLeftS(stepped.now), 10, 1e-9)
-      << "never longer than it was given";
+      << "the time left never exceeds the time given";
 }
 
 TEST(RevisionHistory, AStartResumesTheLogWhereTheFileIsUnchanged) {
@@ -558,14 +561,14 @@
   State resumed = RevisionHistory::ResumeFromLog(history.revisions.state(), file, history.now);
   EXPECT_EQ(resumed.running, 2u);
   EXPECT_TRUE(resumed.provisional.has_value());
-  EXPECT_EQ(resumed.Running().document["seed"], "77") << "its own";
+  EXPECT_EQ(resumed.Running().document["seed"], "77") << "the seed is this process's";
   State broken = RevisionHistory::ResumeFromLog(history.revisions.state(), nullptr, history.now);
   EXPECT_EQ(broken.running, 2u);
   State other = RevisionHistory::ResumeFromLog(history.revisions.state(), WithMaxAttempts(3), history.now);
   EXPECT_EQ(other.running, 3u);
   EXPECT_FALSE(other.provisional.has_value());
   EXPECT_EQ(other.Running().document["settings"]["limits"]["try-limit"], 3);
-  EXPECT_GT(other.generation, history.revisions.state().generation) << "the other process follows";
+  EXPECT_GT(other.generation, history.revisions.state().generation) << "the other process must adopt it";
 }
 
 TEST(RevisionHistory, AProcessAdoptsThePeersLaterState) {
@@ -625,12 +628,13 @@
     if (mutated[index] == other) continue;
     mutated[index] = other;
     auto state = ParseState(mutated);
-    EXPECT_TRUE(!state || *state == history.revisions.state()) << index;  // white space of the head apart
+    EXPECT_TRUE(!state || *state == history.revisions.state())
+        << index;  // white space in the header may differ
   }
   std::string other_format = text;
   other_format.replace(other_format.find("\"format\":1"), 10, "\"format\":0");
   EXPECT_FALSE(ParseState(other_format));
-  // A right checksum over something else, or over what does not hang together.
+  // The checksum is right, but the state is inconsistent.
   auto round_trip = [](const State& state) { return ParseState(SerializeState(state)); };
   State state = history.revisions.state();
   state.provisional->rollback_target = 9;
@@ -645,7 +649,7 @@
   EXPECT_FALSE(round_trip(state));
 }
 
-// Places in the module's tables.
+// The first `count` indices of each list of the settings.
 lemonchute::policy::SettingsIndices FirstIndices(int count) {
   lemonchute::policy::SettingsIndices indices;
   for (int i = 0; i < count; ++i)
@@ -675,10 +679,11 @@
   EXPECT_EQ(without_references.config.site.classes, (Names{"note", "save"}));
   EXPECT_EQ(without_references.renewed.plans, std::unordered_set<int>{0});
   Merged repeated = MergeSettings(with_references.config, ParseConfig(updated), {});
-  EXPECT_EQ(repeated.config.site.classes, (Names{"", "save", "note"})) << "it stays where it is";
+  EXPECT_EQ(repeated.config.site.classes, (Names{"", "save", "note"}))
+      << "unchanged entries keep their indices";
   EXPECT_TRUE(repeated.renewed.classes.empty());
   Merged restored = MergeSettings(repeated.config, ParseConfig(ValidDocument()), {});
-  EXPECT_EQ(restored.config.site.classes, (Names{"quote", "save"})) << "the place has come back";
+  EXPECT_EQ(restored.config.site.classes, (Names{"quote", "save"})) << "an unused index is used again";
 }
 
 TEST(Merge, IndicesDoNotGrowWithReloads) {
@@ -691,7 +696,7 @@
     classes[0]["name"] = NumberedName("c", i);
     updated["settings"]["tiers-of-service"][1]["name"] = NumberedName("p", i);
     updated["settings"]["zones"][1] = NumberedName("z", i);
-    lemonchute::policy::SettingsIndices in_use;  // some of what was there is still referred to
+    lemonchute::policy::SettingsIndices in_use;  // some of the earlier entries are still referred to
     for (int index = 0; index < 6; ++index) {
       if (random() % 2 == 0)
         in_use.classes.insert(index), in_use.plans.insert(index), in_use.zones.insert(index);
--- a/tests/measure.cpp
+++ b/tests/measure.cpp
@@ -1,6 +1,6 @@
-// Figures for docs/ROADMAP.md; no test. `measure PROGRAM cpu` prints the processor time that the gateway
-// takes for a request, `measure PROGRAM pause` how long its event loop stands still when the configuration
-// changes with 20,000 customers and 200 backends known.
+// Measures the figures of docs/ROADMAP.md; not a test. `measure PROGRAM cpu` prints the gateway's processor
+// time per request, `measure PROGRAM pause` how long its event loop is blocked by a configuration update
+// while it knows 20,000 customers and 200 backends.
 #include <algorithm>
 #include <cstdio>
 
@@ -12,6 +12,7 @@
 
 constexpr int kBackends = 200, kCustomers = 20000, kClients = 8, kUpdates = 60;
 
+// The processor time that the process has used, in seconds.
 double CpuS(const Process& process) {
   std::ifstream in("/proc/" + std::to_string(process.pid()) + "/stat");
   std::string text((std::istreambuf_iterator<char>(in)), {});
@@ -23,7 +24,8 @@
   return (user + system) / static_cast<double>(sysconf(_SC_CLK_TCK));
 }
 
-// Each of `requests` is of the next of `customers`.
+// Sends `requests` requests over kClients connections, each for the next of `customers` customers in turn.
+// @return how many were answered with status 200.
 int SendRequests(const Process& gateway, int requests, int customers) {
   std::atomic<int> next_request{0}, served{0};
   std::vector<std::thread> clients;
@@ -64,7 +66,7 @@
   if (figure == "cpu") {
     double cpu_before_s = CpuS(*site.gateway);
     int served = SendRequests(*site.gateway, 2 * kCustomers, kCustomers);
-    std::printf("%.2f us a request, %d served\n",
+    std::printf("%.2f us of processor time per request, %d served\n",
                 (CpuS(*site.gateway) - cpu_before_s) * 1e6 / (2 * kCustomers), served);
     return 0;
   }
@@ -72,7 +74,7 @@
   auto ms = [](Clock::duration d) { return std::chrono::duration<double, std::milli>(d).count(); };
   std::atomic<bool> done{false};
   std::mutex mutex;
-  double longest_wait_ms = 0;  // of a client's wait since it was last asked for
+  double longest_wait_ms = 0;  // of a client's request since take_longest_wait was last called
   std::thread client([&] {
     auto wire = site.gateway->Connect();
     while (!done) {
@@ -89,7 +91,7 @@
   json updated = json::parse(Call(admin_port, "GET", "/control/config/running").body);
   std::vector<double> update_ms, idle_wait_ms, update_wait_ms;
   for (int i = 1; i <= kUpdates; ++i) {
-    updated["settings"]["tiers-of-service"][0]["units-per-s"] = 10 + i % 5;  // every customer's bucket
+    updated["settings"]["tiers-of-service"][0]["units-per-s"] = 10 + i % 5;  // changes every bucket
     updated["settings"]["request-classes"][0]["aim-s"] = 1 + i % 2 * 0.1;
     take_longest_wait();
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
@@ -98,7 +100,7 @@
     Message answer = Call(admin_port, "PUT", "/control/config?base=" + std::to_string(i), updated.dump());
     update_ms.push_back(ms(Clock::now() - start));
     update_wait_ms.push_back(take_longest_wait());
-    if (answer.status() != 200) std::printf("put: %s\n", answer.body.c_str());
+    if (answer.status() != 200) std::printf("configuration update failed: %s\n", answer.body.c_str());
   }
   done = true;
   client.join();
@@ -106,9 +108,9 @@
     std::printf("%s: median %.2f ms, longest %.2f ms of %zu\n", name, Median(values),
                 *std::max_element(values.begin(), values.end()), values.size());
   };
-  print_summary("a put from call to answer", update_ms);
-  print_summary("a client's wait in that time", update_wait_ms);
-  print_summary("a client's wait in 20 ms without one", idle_wait_ms);
+  print_summary("configuration update", update_ms);
+  print_summary("client request during an update", update_wait_ms);
+  print_summary("client request during 20 ms without an update", idle_wait_ms);
   return 0;
 }
 
--- a/tests/protocol_codec_test.cpp
+++ b/tests/protocol_codec_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the simulator protocol's codec, the settings parser, and the adapter's exit codes and error texts.
 #include "simulator/protocol_codec.h"
 
 #include <gtest/gtest.h>
@@ -14,6 +15,7 @@
 namespace lemonchute::policy {
 namespace {
 
+// Characters other than hex digits are ignored.
 std::string BytesFromHex(const char* text) {
   std::string out;
   int high = -1;
@@ -30,6 +32,7 @@
   return out;
 }
 
+// Puts the frame header in front of `count` records.
 std::string Frame(const std::string& records, uint32_t count) {
   std::string out(16, '\0');
   uint32_t size = static_cast<uint32_t>(16 + records.size());
@@ -40,6 +43,7 @@
   return out + records;
 }
 
+// @return the error text, or an empty one if the frame is valid.
 std::string ParseBatchError(const std::string& frame) {
   try {
     ParseBatch(frame);
@@ -168,7 +172,7 @@
   for (size_t n = 0; n < whole.size(); ++n) {
     std::string truncated = whole.substr(0, n);
     EXPECT_NE(ParseBatchError(truncated), "") << n;
-    if (n < 16) continue;
+    if (n < 16) continue;  // the header itself is cut
     uint32_t size = static_cast<uint32_t>(n);
     std::memcpy(truncated.data(), &size, 4);
     EXPECT_NE(ParseBatchError(truncated), "") << n;
@@ -212,6 +216,7 @@
          "tiers-of-service.0.value-factor=0.72\ntiers-of-service.0.parallel=2\n";
 }
 
+// @return the error text, or an empty one if the settings are valid.
 std::string ParseSettingsError(const std::string& text) {
   try {
     ParseSettings(text);
@@ -244,6 +249,8 @@
   }
 }
 
+// Runs the adapter program on `input`.
+// @return its exit code, or -1 if a signal ended it.
 int RunAdapter(const std::string& input, std::string* errors) {
   std::string base = testing::TempDir() + "lemonchute_" + std::to_string(getpid());
   std::FILE* file = std::fopen((base + ".in").c_str(), "wb");
