--- a/tests/faults_script_test.sh
+++ b/tests/faults_script_test.sh
@@ -1,12 +1,15 @@
 #!/usr/bin/env bash
-# Guards against hunts of tools/faults that are passed over in silence: which of them it plays, and what it makes of
-# their results, seen with a lab that only writes down how it is called.
+# Tests tools/faults with a stub emulator that records its arguments: each campaign must run, also after one that
+# found something, and the exit code must report every failure. Guards against campaigns that are skipped
+# silently.
+#   faults_script_test.sh FAULTS
 set -uo pipefail
 faults=$1
 folder=$(mktemp -d)
 trap 'rm -rf "$folder"' EXIT
 failed=0
-# expect STATUS HUNTS CODES: the script's exit code and the number of hunts, where they end with CODES in turn
+# expect STATUS CAMPAIGNS CODES: runs the script with campaigns that exit with CODES in turn; checks its exit
+# code and the number of campaigns
 expect() {
   local codes status
   read -ra codes <<<"$3"
@@ -22,15 +25,15 @@
   FAULTS_LAB="$folder/lab" "$faults" 5 3 "$folder/found" >/dev/null 2>&1
   status=$?
   if [ "$status" -ne "$1" ] || [ "$(wc -l <"$folder/calls")" -ne "$2" ]; then
-    echo "hunts that end with $3: status $status, wanted $1; $2 hunts wanted, played: $(cat "$folder/calls")"
+    echo "campaigns that exit with $3: status $status, wanted $1; $2 campaigns wanted, ran: $(cat "$folder/calls")"
     failed=1
   fi
 }
 expect 0 4 '0 0 0 0'
-[ "$(grep -c -- '--real' "$folder/calls")" -eq 3 ] || { echo "not three hunts on sockets"; failed=1; }
-[ "$(grep -c -- '--system-faults' "$folder/calls")" -eq 1 ] || { echo "no hunt with failing calls"; failed=1; }
-[ "$(grep -c -- '--operations' "$folder/calls")" -eq 1 ] || { echo "no hunt with restarts"; failed=1; }
-[ "$(grep -c -- '--seeds 1..5 --gateways 3' "$folder/calls")" -eq 4 ] || { echo "other plans than asked for"; failed=1; }
+[ "$(grep -c -- '--real' "$folder/calls")" -eq 3 ] || { echo "not three campaigns on real sockets"; failed=1; }
+[ "$(grep -c -- '--system-faults' "$folder/calls")" -eq 1 ] || { echo "no campaign with failing system calls"; failed=1; }
+[ "$(grep -c -- '--operations' "$folder/calls")" -eq 1 ] || { echo "no campaign with restarts"; failed=1; }
+[ "$(grep -c -- '--seeds 1..5 --gateways 3' "$folder/calls")" -eq 4 ] || { echo "seeds or gateways differ from the arguments"; failed=1; }
 expect 1 4 '1 0 0 0'
 expect 1 4 '0 1 0 0'
 expect 1 4 '0 0 1 0'
