--- a/src/config/check_extensions.cpp
+++ b/src/config/check_extensions.cpp
@@ -1,4 +1,4 @@
-// Checks `extensions`: one key for each optional part of the program.
+// Checks `extensions`: one key for each optional feature.
 #include <optional>
 #include <set>
 #include <string>
@@ -11,30 +11,32 @@
 
 using nlohmann::json;
 
-// Of a gateway's datagram rate. Below it a gateway at the fleet's size limit probes less often than every
-// 2 s.
+// Share of a gateway's datagram rate. Below the minimum, a gateway in a fleet of the maximum size probes less
+// often than every 2 s.
 constexpr double kMinMembershipShare = 0.05;
 constexpr double kMaxMembershipShare = 1;
-constexpr double kMinPeerRatePerS = 1, kMaxPeerRatePerS = 1e6;  // datagrams
-constexpr size_t kMaxPeers = 8192;                              // bound of the datagram format
+constexpr double kMinPeerRatePerS = 1, kMaxPeerRatePerS = 1e6;  // in datagrams
+constexpr size_t kMaxPeers = 8192;                              // limit of the datagram format
 
 enum class PortRule { kAny, kFixed };
 
-bool CheckPeerAddress(const json& value, const std::string& at, PortRule port_rule, FaultReporter* reporter) {
+bool CheckPeerAddress(const json& value, const std::string& path, PortRule port_rule,
+                      FaultReporter* reporter) {
   auto address = value.is_string() ? ParseHostPort(value.get_ref<const std::string&>()) : std::nullopt;
   const bool valid = address && address->host.is_v4() && (port_rule == PortRule::kAny || address->port != 0);
-  if (!valid) reporter->Fault(at, "must be an IPv4 address such as 10.0.0.4:7946 for extensions.membership");
+  if (!valid)
+    reporter->Fault(path, "must be an IPv4 address such as 10.0.0.4:7946 for extensions.membership");
   return valid;
 }
 
 void CheckMembershipFields(const json& membership, FaultReporter* reporter) {
-  const std::string at = "/extensions/membership";
+  const std::string path = "/extensions/membership";
   for (const auto& [key, value] : membership.items()) {
     if (key != "share") {
-      reporter->Fault(ChildPath(at, key), "is not known");
+      reporter->Fault(ChildPath(path, key), "is not known");
     } else if (!value.is_number() || value.get<double>() < kMinMembershipShare ||
                value.get<double>() > kMaxMembershipShare) {
-      reporter->Fault(ChildPath(at, key), "must be a number from 0.05 to 1");
+      reporter->Fault(ChildPath(path, key), "must be a number from 0.05 to 1");
     }
   }
 }
@@ -49,7 +51,7 @@
                   "must be a number from 1 to 1000000 for extensions.membership");
 }
 
-// One distinct address for each gateway that the settings count.
+// There must be one distinct address for each of the settings' `peers-total` gateways.
 void CheckPeers(const json& peers, const json& settings, FaultReporter* reporter) {
   auto total = FindNumber(settings, "peers-total");
   auto self = FindNumber(settings, "me");
@@ -62,14 +64,14 @@
   }
   std::set<std::string> seen;
   for (size_t i = 0; i < peers.size(); ++i) {
-    const std::string at = ChildPath("/peers", i);
-    if (!CheckPeerAddress(peers[i], at, PortRule::kFixed, reporter)) continue;
+    const std::string path = ChildPath("/peers", i);
+    if (!CheckPeerAddress(peers[i], path, PortRule::kFixed, reporter)) continue;
     const auto& address = peers[i].get_ref<const std::string&>();
-    if (!seen.insert(address).second) reporter->Fault(at, "occurs twice: " + Printable(address));
+    if (!seen.insert(address).second) reporter->Fault(path, "occurs twice: " + Printable(address));
   }
 }
 
-// Besides its own key, membership needs peer addresses and a datagram rate.
+// Membership needs peer addresses and a datagram rate in addition to its own key.
 void CheckMembership(const json& membership, const json& document, FaultReporter* reporter) {
   if (!membership.is_object()) return reporter->WrongType("/extensions/membership", "an object", membership);
   CheckMembershipFields(membership, reporter);
--- a/src/config/check_process.cpp
+++ b/src/config/check_process.cpp
@@ -28,15 +28,15 @@
 constexpr IntegerBound kLimits[] = {{"sockets", kMinSockets}, {"memory_mb", kMinMemoryMb}};
 
 void CheckAddress(const json& document, const char* key, Presence presence, FaultReporter* reporter) {
-  const std::string at = ChildPath("", key);
+  const std::string path = ChildPath("", key);
   auto field = document.find(key);
   if (field == document.end() || field->is_null()) {
-    if (presence == Presence::kRequired) reporter->Fault(at, "is missing");
+    if (presence == Presence::kRequired) reporter->Fault(path, "is missing");
     return;
   }
-  if (!field->is_string()) return reporter->WrongType(at, "an address", *field);
+  if (!field->is_string()) return reporter->WrongType(path, "an address", *field);
   const auto& text = field->get_ref<const std::string&>();
-  if (!ParseHostPort(text)) reporter->Fault(at, "is no address such as 10.0.0.4:5000: " + Printable(text));
+  if (!ParseHostPort(text)) reporter->Fault(path, "is no address such as 10.0.0.4:5000: " + Printable(text));
 }
 
 void CheckSeed(const json& document, FaultReporter* reporter) {
@@ -69,7 +69,7 @@
   return ParseHostPort(field->get_ref<const std::string&>());
 }
 
-// Port 0 stands for any free port, so it equals no other.
+// Port 0 stands for any free port, so it conflicts with no other.
 bool SameEndpoint(const std::optional<HostPort>& left, const std::optional<HostPort>& right) {
   return left && right && left->port != 0 && left->port == right->port && left->host == right->host;
 }
@@ -91,7 +91,8 @@
     for (const char* other : {"discovery", "counter", "ops"}) {
       if (std::string_view(own) == other) continue;
       if (!SameEndpoint(FindAddress(document, own), FindAddress(document, other))) continue;
-      reporter->Doubt(ChildPath("", other), std::string("is the address that this process holds as ") + own);
+      reporter->Questionable(ChildPath("", other),
+                             std::string("is the address that this process holds as ") + own);
     }
   }
 }
--- a/src/config/revisions.cpp
+++ b/src/config/revisions.cpp
@@ -26,21 +26,21 @@
   return out;
 }
 
-void NoteFile(State* state, const json& document, uint64_t number) {
+void RecordAppliedFile(State* state, const json& document, uint64_t number) {
   state->file_id = ContentId(document);
   state->file_revision = number;
   state->file_discovery = Member(document, "discovery");
   state->file_counter = Member(document, "counter");
 }
 
-// The list to start with if the file is broken at the next start.
+// The endpoint list to start with if the file is invalid at the next start. A large one is not stored.
 json StoredInitialEndpoints(const json& document) {
   json known = Member(document, "known");
   return known.dump().size() <= kMaxInitialEndpointsBytes ? known : json();
 }
 
-// Bounds the history by number, and the documents of revisions that are neither running nor the rollback
-// target by their size.
+// Bounds the number of revisions, and the total size of the documents of revisions that are neither running
+// nor the rollback target.
 void TrimHistory(State* state) {
   auto needed = [&](uint64_t number) {
     return number == state->running || (state->provisional && number == state->provisional->rollback_target);
@@ -68,7 +68,7 @@
   return "";
 }
 
-// Adds a revision that runs from now on.
+// Adds a revision and makes it the running one.
 // @return its number.
 uint64_t AddRevision(State* state, json document, UpdateSource source, uint64_t restored_from,
                      double time_s) {
@@ -87,7 +87,7 @@
   return state->running;
 }
 
-// Process-local keys are this process's, even in a document of another process.
+// Takes the process-local keys from `own`: another process's document has other values for them.
 json WithProcessLocalKeys(json document, const json& own) {
   for (const char* key : {"seed", "ops"}) {
     document.erase(key);
@@ -96,24 +96,24 @@
   return document;
 }
 
-// By the monotonic clock, which changes of the system's time don't affect. A reboot restarts it, and then
-// only the system's time is left.
-double ElapsedS(const ProvisionalRevision& provisional, Times now) {
+// Measured by the monotonic clock, which steps of the wall clock don't affect. A reboot restarts it; only the
+// wall clock can be used then.
+double ElapsedS(const ProvisionalRevision& provisional, Timestamp now) {
   double elapsed_s = now.steady_s - provisional.started.steady_s;
   if (elapsed_s < 0) elapsed_s = now.system_s - provisional.started.system_s;
   return std::clamp(elapsed_s, 0.0, provisional.confirm_within_s);
 }
 
-// Turns the faults that `running` has as warnings already into warnings: they are no mistake of this update.
-void ExcuseRunningFaults(const std::vector<Fault>& running, Findings* found) {
-  auto excused = std::stable_partition(found->faults.begin(), found->faults.end(), [&](const Fault& fault) {
-    return std::find(running.begin(), running.end(), fault) == running.end();
-  });
-  found->warnings.insert(found->warnings.end(), excused, found->faults.end());
-  found->faults.erase(excused, found->faults.end());
+// Turns the faults that the running document has already into warnings: this update did not introduce them.
+void DowngradeRunningFaults(const std::vector<Fault>& running, Findings* findings) {
+  auto downgraded = std::stable_partition(
+      findings->faults.begin(), findings->faults.end(),
+      [&](const Fault& fault) { return std::find(running.begin(), running.end(), fault) == running.end(); });
+  findings->warnings.insert(findings->warnings.end(), downgraded, findings->faults.end());
+  findings->faults.erase(downgraded, findings->faults.end());
 }
 
-Rejection Reject(Rejection::Kind kind, std::string why) { return {kind, std::move(why), {}, {}}; }
+Rejection Reject(Rejection::Kind kind, std::string message) { return {kind, std::move(message), {}, {}}; }
 
 std::string RevisionText(uint64_t number) { return "revision " + std::to_string(number); }
 
@@ -129,24 +129,25 @@
 
 }  // namespace
 
-State RevisionHistory::StartFromFile(const json& document, Times now) {
+State RevisionHistory::StartFromFile(const json& document, Timestamp now) {
   State state;
-  NoteFile(&state, document, AddRevision(&state, document, UpdateSource::kFile, 0, now.system_s));
+  RecordAppliedFile(&state, document, AddRevision(&state, document, UpdateSource::kFile, 0, now.system_s));
   state.initial_endpoints = StoredInitialEndpoints(document);
   state.generation = 1;
   return state;
 }
 
-State RevisionHistory::ResumeFromLog(const State& logged, const json& file, Times now, bool file_wins) {
+State RevisionHistory::ResumeFromLog(const State& logged, const json& file, Timestamp now,
+                                     bool always_use_file) {
   if (file.is_null()) return logged;
   State state = logged;
-  if (!file_wins && ContentId(file) == logged.file_id) {
+  if (!always_use_file && ContentId(file) == logged.file_id) {
     Revision& running = state.revisions.back();
     running.document = WithProcessLocalKeys(std::move(running.document), file);
     return state;
   }
   ++state.generation;
-  NoteFile(&state, file, AddRevision(&state, file, UpdateSource::kFile, 0, now.system_s));
+  RecordAppliedFile(&state, file, AddRevision(&state, file, UpdateSource::kFile, 0, now.system_s));
   state.initial_endpoints = StoredInitialEndpoints(file);
   TrimHistory(&state);
   return state;
@@ -168,7 +169,7 @@
     return Reject(Rejection::kNoChange, RevisionText(target->number) + " runs already");
   }
   Candidate candidate{target->document, target->number};
-  // A rollback keeps the addresses of discovery and counter that the platform named since: once it has moved
+  // A rollback keeps addresses of discovery and counter that the platform has set since: once it has moved
   // them, the old ones accept no connections.
   if (state_.file_revision > target->number) {
     candidate.document["discovery"] = state_.file_discovery;
@@ -177,17 +178,17 @@
   return candidate;
 }
 
-// A rollback is checked as the platform's configuration: what ran once may run again.
+// A rollback is checked as strictly as the platform's configuration: what ran once may run again.
 Findings RevisionHistory::Check(const json& document, UpdateSource source) const {
   if (source != UpdateSource::kOperatorUpdate) {
     return CheckConfig(document, Author::kPlatform, initial_settings_);
   }
-  Findings found = CheckConfig(document, Author::kOperator, initial_settings_);
-  ExcuseRunningFaults(CheckConfig(state_.Running().document, Author::kPlatform).warnings, &found);
-  return found;
+  Findings findings = CheckConfig(document, Author::kOperator, initial_settings_);
+  DowngradeRunningFaults(CheckConfig(state_.Running().document, Author::kPlatform).warnings, &findings);
+  return findings;
 }
 
-void RevisionHistory::SetNextState(const UpdateRequest& request, Candidate candidate, Times now,
+void RevisionHistory::SetNextState(const UpdateRequest& request, Candidate candidate, Timestamp now,
                                    Transition* next) const {
   const Revision& running = state_.Running();
   const bool from_file = request.source == UpdateSource::kFile;
@@ -197,13 +198,13 @@
   next->content_unchanged = ContentId(document) == running.id;
   uint64_t number = state_.running;
   if (next->content_unchanged) {
-    next->state.provisional.reset();  // asking for it once more confirms it
+    next->state.provisional.reset();  // requesting the running content again confirms it
     next->state.revisions.back().outcome = "running";
   } else {
     number =
         AddRevision(&next->state, std::move(document), request.source, candidate.restored_from, now.system_s);
   }
-  if (from_file) NoteFile(&next->state, candidate.document, number);
+  if (from_file) RecordAppliedFile(&next->state, candidate.document, number);
   if (request.confirm_within_s > 0 && !next->content_unchanged) {
     const double confirm_within_s = std::min(request.confirm_within_s, kMaxConfirmWithinS);
     next->state.provisional = ProvisionalRevision{number, running.number, now, confirm_within_s};
@@ -212,7 +213,8 @@
   TrimHistory(&next->state);
 }
 
-std::variant<Transition, Rejection> RevisionHistory::Propose(const UpdateRequest& request, Times now) const {
+std::variant<Transition, Rejection> RevisionHistory::Propose(const UpdateRequest& request,
+                                                             Timestamp now) const {
   const Revision& running = state_.Running();
   if (request.base_revision && *request.base_revision != state_.running) {
     return Reject(Rejection::kStaleBase, RevisionText(*request.base_revision) + " does not run, but " +
@@ -224,19 +226,19 @@
     if (auto* rejection = std::get_if<Rejection>(&selected)) return std::move(*rejection);
     candidate = std::get<Candidate>(std::move(selected));
   }
-  Findings found = Check(candidate.document, request.source);
-  if (!found.faults.empty()) {
-    return Rejection{Rejection::kInvalid, OneLine(found.faults), std::move(found.faults), {}};
+  Findings findings = Check(candidate.document, request.source);
+  if (!findings.faults.empty()) {
+    return Rejection{Rejection::kInvalid, FormatFaults(findings.faults), std::move(findings.faults), {}};
   }
   const bool from_file = request.source == UpdateSource::kFile;
   if (!from_file) {
     candidate.document = WithProcessLocalKeys(std::move(candidate.document), running.document);
   }
   Transition next;
-  next.warnings = std::move(found.warnings);
-  next.changes = PlanChanges(running.document, candidate.document);
+  next.warnings = std::move(findings.warnings);
+  next.changes = FindChanges(running.document, candidate.document);
   for (const Change& change : next.changes) {
-    if (change.activation == Activation::kRestart) next.needs_restart.push_back(change.at);
+    if (change.activation == Activation::kRestart) next.needs_restart.push_back(change.path);
   }
   if (!next.needs_restart.empty() && !from_file) {
     return Rejection{Rejection::kNeedsRestart,
@@ -263,19 +265,19 @@
   return next;
 }
 
-std::optional<double> RevisionHistory::ConfirmationTimeLeftS(Times now) const {
+std::optional<double> RevisionHistory::ConfirmationTimeLeftS(Timestamp now) const {
   if (!state_.provisional) return std::nullopt;
   return state_.provisional->confirm_within_s - ElapsedS(*state_.provisional, now);
 }
 
-std::optional<Transition> RevisionHistory::RollbackIfExpired(Times now) const {
+std::optional<Transition> RevisionHistory::RollbackIfExpired(Timestamp now) const {
   auto left_s = ConfirmationTimeLeftS(now);
   if (!left_s || *left_s > 0) return std::nullopt;
   UpdateRequest request;
   request.source = UpdateSource::kAutomaticRollback;
   request.target_revision = state_.provisional->rollback_target;
-  auto answer = Propose(request, now);
-  if (auto* next = std::get_if<Transition>(&answer)) return std::move(*next);
+  auto result = Propose(request, now);
+  if (auto* next = std::get_if<Transition>(&result)) return std::move(*next);
   return std::nullopt;
 }
 
@@ -286,13 +288,13 @@
   Revision& running = next.state.revisions.back();
   running.document = WithProcessLocalKeys(std::move(running.document), state_.Running().document);
   next.content_unchanged = running.id == state_.Running().id;
-  next.changes = PlanChanges(state_.Running().document, running.document);
+  next.changes = FindChanges(state_.Running().document, running.document);
   return next;
 }
 
-void RevisionHistory::RecordRejection(UpdateSource source, std::string why, Times now) {
+void RevisionHistory::RecordRejection(UpdateSource source, std::string reason, Timestamp now) {
   if (rejected_updates_.size() >= kMaxRejectedUpdates) rejected_updates_.erase(rejected_updates_.begin());
-  rejected_updates_.push_back({now.system_s, source, std::move(why)});
+  rejected_updates_.push_back({now.system_s, source, std::move(reason)});
 }
 
 }  // namespace lemonchute::config
