--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -21,16 +21,17 @@
 
 Membership::Membership(const Settings& settings, Micros now)
     : settings_(settings),
-      period_(static_cast<Micros>(1e6 * kMessagesPerPeriod / (settings.in_per_s * settings.share))),
+      period_(static_cast<Micros>(1e6 * kMessagesPerPeriod /
+                                  (settings.receive_limit_per_s * settings.rate_share))),
       started_(now),
-      view_(settings.members, settings.self, now),
+      view_(settings.member_count, settings.self, now),
       random_(settings.seed),
-      peer_records_(settings.members),
+      peer_records_(settings.member_count),
       tokens_(RatePerS()),
       tokens_at_(now) {
   // Members that start in one instant don't probe in one.
   next_period_ = now + static_cast<Micros>(RandomBelow(static_cast<size_t>(period_)));
-  view_.Take({settings.self, State::kAlive, settings.self, 1, settings.about}, now);
+  view_.Take({settings.self, State::kAlive, settings.self, 1, settings.version}, now);
 }
 
 size_t Membership::RandomBelow(size_t n) { return n == 0 ? 0 : static_cast<size_t>(random_() % n); }
@@ -38,7 +39,8 @@
 bool Membership::IsPresent(size_t member) const { return view_.At(member).state <= State::kSuspect; }
 
 int Membership::GossipTransmitLimit() const {
-  return kGossipFactor * static_cast<int>(std::ceil(std::log10(static_cast<double>(settings_.members) + 1)));
+  return kGossipFactor *
+         static_cast<int>(std::ceil(std::log10(static_cast<double>(settings_.member_count) + 1)));
 }
 
 void Membership::Refute(Micros now, uint32_t above) {
@@ -46,8 +48,8 @@
   Update self = view_.WordOn(settings_.self);
   self.incarnation = std::min(kMostIncarnation, above + 1);
   self.state = State::kAlive;
-  self.about = settings_.about;
-  ++counts_.refuted;
+  self.version = settings_.version;
+  ++counts_.refutations;
   view_.Take(self, now);
 }
 
@@ -57,7 +59,7 @@
     bool accused = update.state != State::kAlive && update.incarnation >= self.incarnation;
     // A previous incarnation, or another process that uses this member's number.
     bool conflicting = update.incarnation > self.incarnation ||
-                       (update.incarnation == self.incarnation && update.about != self.about);
+                       (update.incarnation == self.incarnation && update.version != self.version);
     if (update.state == State::kSuspect && accused) health_ = std::min(kMaxHealth, health_ + 1);
     if (accused || conflicting) Refute(now, update.incarnation);
     return;
@@ -65,7 +67,7 @@
   const Entry before = view_.At(update.member);
   bool newer = view_.Take(update, now);
   if (newer && before.state != update.state)
-    out->changes.push_back({update.member, before.state, update.state, update.incarnation, update.by});
+    out->changes.push_back({update.member, before.state, update.state, update.incarnation, update.reporter});
   const Entry& is = view_.At(update.member);
   if (is.state != State::kSuspect) {
     suspicions_.erase(update.member);
@@ -75,9 +77,9 @@
   auto [suspicion, fresh] = suspicions_.try_emplace(update.member, Suspicion{now, {}, 0});
   if (newer) suspicion->second = {now, {}, 0};
   // Each of the first confirmations is gossiped, since it shortens the suspicion.
-  bool confirms =
-      suspicion->second.by.size() <= kMaxConfirmations && suspicion->second.by.insert(update.by).second;
-  if (confirms && !newer) view_.Confirm(update.member, update.by);
+  bool confirms = suspicion->second.reporters.size() <= kMaxConfirmations &&
+                  suspicion->second.reporters.insert(update.reporter).second;
+  if (confirms && !newer) view_.Confirm(update.member, update.reporter);
 }
 
 bool Membership::ExceedsSenderRate(Micros now, PeerRecord* sender) const {
@@ -89,38 +91,38 @@
   return false;
 }
 
-void Membership::Heard(Micros now, int from, std::span<const uint8_t> bytes, Actions* out) {
-  if (from < 0 || from >= static_cast<int>(settings_.members)) {
-    ++counts_.strangers;
+void Membership::OnDatagram(Micros now, int from, std::span<const uint8_t> bytes, Actions* out) {
+  if (from < 0 || from >= static_cast<int>(settings_.member_count)) {
+    ++counts_.unknown_senders;
     return;
   }
   PeerRecord& sender = peer_records_[static_cast<size_t>(from)];
   if (ExceedsSenderRate(now, &sender)) {
-    ++counts_.flooded;
+    ++counts_.over_sender_rate;
     return;
   }
-  Fault fault = Fault::kNone;
-  std::optional<Message> read = membership::Read(bytes, settings_.members, &fault);
+  DecodeError fault = DecodeError::kNone;
+  std::optional<Message> read = membership::Read(bytes, settings_.member_count, &fault);
   if (!read) {
-    ++counts_.bad[static_cast<size_t>(fault)];
+    ++counts_.malformed[static_cast<size_t>(fault)];
     return;
   }
   Message& message = *read;
   if (message.from != from) {
-    ++counts_.misnumbered;
+    ++counts_.sender_mismatches;
     return;
   }
   sender.at = now;
   sender.digest = message.digest;
   if (from == settings_.self) {
-    ++counts_.claimed;
+    ++counts_.impersonations;
     impersonated_at_ = now;
     return;
   }
-  ++counts_.heard;
+  ++counts_.received;
   // Peer lists may differ for a while during a reload, so updates about unknown members are dropped.
-  counts_.beyond += std::erase_if(message.updates, [&](const Update& u) {
-    return u.member >= settings_.members || u.by >= settings_.members;
+  counts_.unknown_members += std::erase_if(message.updates, [&](const Update& u) {
+    return u.member >= settings_.member_count || u.reporter >= settings_.member_count;
   });
   for (const Update& update : message.updates) Apply(now, update, out);
   HandleMessage(now, message, out);
@@ -198,7 +200,7 @@
     size_t part = (first + i) % kParts;
     if (m.parts[part] == view_.parts()[part]) continue;
     std::vector<size_t> members;
-    for (size_t member = part; member < settings_.members; member += kParts) members.push_back(member);
+    for (size_t member = part; member < settings_.member_count; member += kParts) members.push_back(member);
     Message entries;
     entries.kind = Kind::kEntries;
     entries.sequence = kEntriesRequest;
@@ -215,7 +217,7 @@
   tokens_ = std::min(RatePerS(), tokens_ + RatePerS() * 1e-6 * static_cast<double>(now - tokens_at_));
   tokens_at_ = now;
   if (tokens_ < 1) {
-    ++counts_.paced;
+    ++counts_.rate_limited;
     return false;
   }
   tokens_ -= 1;
@@ -249,14 +251,14 @@
   }
 }
 
-void Membership::Return(Micros now) {
+void Membership::Rejoin(Micros now) {
   if (!has_left_) return;
   has_left_ = false;
   Refute(now, view_.At(settings_.self).incarnation);
 }
 
 void Membership::Resize(Micros now, size_t members) {
-  settings_.members = members;
+  settings_.member_count = members;
   view_.Resize(members, now);
   peer_records_.resize(members);
   probe_order_.clear();
@@ -266,12 +268,12 @@
   std::erase_if(relays_, [&](const Relay& r) { return r.requester >= members || r.target >= members; });
 }
 
-void Membership::Tell(Micros now, const About& about) {
-  if (settings_.about == about) return;
-  settings_.about = about;
+void Membership::SetVersion(Micros now, const SoftwareVersion& version) {
+  if (settings_.version == version) return;
+  settings_.version = version;
   if (has_left_) return;  // said on its return
   Update self = view_.WordOn(settings_.self);
-  self.about = about;
+  self.version = version;
   self.incarnation = std::min(kMostIncarnation, self.incarnation + 1);
   view_.Take(self, now);
 }
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -29,11 +29,11 @@
 
 struct Settings {
   uint16_t self = 0;
-  size_t members = 0;    // numbers are 0 to members - 1
-  uint64_t seed = 0;     // new with each start
-  About about;           // what this member runs
-  double in_per_s = 60;  // datagrams that a member takes in a second (specifics.peer-in-per-s)
-  double share = 0.25;   // of these, that membership may come to on average
+  size_t member_count = 0;          // numbers are 0 to members - 1
+  uint64_t seed = 0;                // new with each start
+  SoftwareVersion version;          // what this member runs
+  double receive_limit_per_s = 60;  // datagrams that a member takes in a second (specifics.peer-in-per-s)
+  double rate_share = 0.25;         // of these, that membership may come to on average
 };
 
 struct Datagram {
@@ -42,9 +42,9 @@
 };
 struct Change {
   uint16_t member = 0;
-  State was = State::kAlive, is = State::kAlive;
+  State previous = State::kAlive, current = State::kAlive;
   uint32_t incarnation = 0;
-  uint16_t by = 0;
+  uint16_t reporter = 0;
 };
 struct Actions {
   std::vector<Datagram> send;
@@ -63,23 +63,25 @@
 // Datagrams sent and heard; probes, indirect probes and probes that failed; own refutations; sends dropped to
 // keep our own rate (paced); digest exchanges begun (repairs).
 struct Counts {
-  uint64_t sent = 0, heard = 0, probes = 0, indirect = 0, failed = 0, refuted = 0, paced = 0, repairs = 0;
-  uint64_t held_up = 0;                     // stalls of this member (RecoverFromStall)
-  std::array<uint64_t, 7> bad{};            // by Fault
-  uint64_t strangers = 0, misnumbered = 0;  // from no peer's address; a number that is not that address's
-  uint64_t flooded = 0;                     // beyond what an honest sender may send
-  uint64_t beyond = 0;                      // words on numbers that our list of peers does not have
-  uint64_t claimed = 0;                     // from our own address, with our own number, and not by us
+  uint64_t sent = 0, received = 0, probes = 0, indirect_probes = 0, failed_probes = 0, refutations = 0,
+           rate_limited = 0, repairs = 0;
+  uint64_t stalls = 0;                  // stalls of this member (RecoverFromStall)
+  std::array<uint64_t, 7> malformed{};  // by Fault
+  uint64_t unknown_senders = 0,
+           sender_mismatches = 0;  // from no peer's address; a number that is not that address's
+  uint64_t over_sender_rate = 0;   // beyond what an honest sender may send
+  uint64_t unknown_members = 0;    // words on numbers that our list of peers does not have
+  uint64_t impersonations = 0;     // from our own address, with our own number, and not by us
 };
 
 // What a consumer may know of the fleet, and how old that is. A stated rule goes with it: membership alone
 // never widens a quota, a ceiling or a cold backend's budget, and where it is not Usable() a consumer behaves
 // as with membership off.
-struct Reading {
+struct FleetStatus {
   Verdict verdict = Verdict::kUnknown;
-  Micros age = 0;        // since any other was last heard; since the start where none was
-  double agreement = 0;  // of the members heard lately, the share whose views are the same as ours
-  size_t there = 0;      // alive or suspect, ourselves included
+  Micros since_received = 0;  // since any other was last heard; since the start where none was
+  double agreement = 0;       // of the members heard lately, the share whose views are the same as ours
+  size_t present = 0;         // alive or suspect, ourselves included
   bool Usable() const { return verdict == Verdict::kConverged || verdict == Verdict::kDiverged; }
 };
 
@@ -88,25 +90,25 @@
   Membership(const Settings& settings, Micros now);
 
   // A datagram from the address of peer `from`; -1: of none.
-  void Heard(Micros now, int from, std::span<const uint8_t> bytes, Actions* out);
+  void OnDatagram(Micros now, int from, std::span<const uint8_t> bytes, Actions* out);
   // Has to be called at NextAt() or later; earlier calls do nothing.
   void Tick(Micros now, Actions* out);
-  Micros NextAt() const;
+  Micros NextTickAt() const;
   // Planned: the others are told *left* and ask it no more; it goes on asking, so that it sees the fleet.
   void Leave(Micros now, Actions* out);
   // Back from a planned leave, under a new incarnation.
-  void Return(Micros now);
+  void Rejoin(Micros now);
   // Another list of peers: numbers from `members` on are forgotten, new ones presumed alive. `self` stays
   // below it.
   void Resize(Micros now, size_t members);
   // What it runs has changed: a new incarnation says so.
-  void Tell(Micros now, const About& about);
+  void SetVersion(Micros now, const SoftwareVersion& version);
 
   const View& view() const { return view_; }
   Verdict Judge(Micros now) const;
-  Reading Read(Micros now) const;
+  FleetStatus Status(Micros now) const;
   // When that member's last datagram came; -1: none has.
-  Micros HeardAt(size_t member) const { return peer_records_[member].at; }
+  Micros LastReceivedAt(size_t member) const { return peer_records_[member].at; }
   const Counts& counts() const { return counts_; }
   int health() const { return health_; }  // 0: well; each step slows its probes by one period
   Micros period() const { return period_; }
@@ -124,7 +126,7 @@
   };
   struct Suspicion {
     Micros since = 0;
-    std::set<uint16_t> by;
+    std::set<uint16_t> reporters;
     int queries = 0;  // of others, before the end
   };
   struct Relay {  // a ping in place of the requester
@@ -164,7 +166,7 @@
   bool Send(Micros now, uint16_t to, Message message, Actions* out);
   bool ExceedsSenderRate(Micros now, PeerRecord* sender) const;
   double Agreement(Micros now) const;
-  double RatePerS() const { return settings_.in_per_s * settings_.share; }
+  double RatePerS() const { return settings_.receive_limit_per_s * settings_.rate_share; }
   int NextProbeTarget();
   std::vector<uint16_t> RandomPeers(size_t most, int but);
   bool IsPresent(size_t member) const;
--- a/src/membership/message.cpp
+++ b/src/membership/message.cpp
@@ -35,48 +35,48 @@
   std::span<const uint8_t> left;
 };
 
-Fault ReadUpdates(std::span<const uint8_t> section, std::vector<Update>* updates) {
-  if (section.size() % kUpdate != 0) return Fault::kSection;
+DecodeError ReadUpdates(std::span<const uint8_t> section, std::vector<Update>* updates) {
+  if (section.size() % kUpdate != 0) return DecodeError::kSection;
   for (Reader reader(section); !reader.left.empty();) {
     Update u;
     u.member = reader.Take<uint16_t>();
     auto state = reader.Take<uint8_t>();
-    u.by = reader.Take<uint16_t>();
+    u.reporter = reader.Take<uint16_t>();
     u.incarnation = reader.Take<uint32_t>();
-    u.about.program = reader.Take<uint32_t>();
-    u.about.config = reader.Take<uint32_t>();
-    if (state > static_cast<uint8_t>(State::kLeft)) return Fault::kSection;
-    if (u.member >= kMostMembers || u.by >= kMostMembers) return Fault::kNumber;
-    if (u.incarnation > kMostIncarnation) return Fault::kIncarnation;
+    u.version.program = reader.Take<uint32_t>();
+    u.version.config = reader.Take<uint32_t>();
+    if (state > static_cast<uint8_t>(State::kLeft)) return DecodeError::kSection;
+    if (u.member >= kMostMembers || u.reporter >= kMostMembers) return DecodeError::kNumber;
+    if (u.incarnation > kMostIncarnation) return DecodeError::kIncarnation;
     u.state = static_cast<State>(state);
     updates->push_back(u);
   }
-  return Fault::kNone;
+  return DecodeError::kNone;
 }
 
 }  // namespace
 
-const char* Name(Fault fault) {
+const char* Name(DecodeError fault) {
   switch (fault) {
-    case Fault::kNone: return "";
-    case Fault::kLength: return "length";
-    case Fault::kFormat: return "format";
-    case Fault::kKind: return "kind";
-    case Fault::kNumber: return "number";
-    case Fault::kIncarnation: return "incarnation";
-    case Fault::kSection: return "section";
+    case DecodeError::kNone: return "";
+    case DecodeError::kLength: return "length";
+    case DecodeError::kFormat: return "format";
+    case DecodeError::kKind: return "kind";
+    case DecodeError::kNumber: return "number";
+    case DecodeError::kIncarnation: return "incarnation";
+    case DecodeError::kSection: return "section";
   }
   return "";
 }
 
 size_t UpdatesThatFit(bool with_parts) {
-  size_t room = kMostBytes - kHead - kSectionHead - (with_parts ? kSectionHead + kParts * kPart : 0);
+  size_t room = kMaxDatagramBytes - kHead - kSectionHead - (with_parts ? kSectionHead + kParts * kPart : 0);
   return room / kUpdate;
 }
 
 std::vector<uint8_t> Write(const Message& message) {
   Writer out;
-  out.bytes.reserve(kMostBytes);
+  out.bytes.reserve(kMaxDatagramBytes);
   out.Put<uint8_t>('L'), out.Put<uint8_t>('M'), out.Put<uint8_t>(kFormat);
   out.Put(static_cast<uint8_t>(message.kind));
   out.Put(message.from), out.Put(message.target), out.Put(message.sequence), out.Put(message.digest);
@@ -89,41 +89,41 @@
     out.Put(kUpdates), out.Put(static_cast<uint8_t>(fit * kUpdate));
     for (size_t i = 0; i < fit; ++i) {
       const Update& u = message.updates[i];
-      out.Put(u.member), out.Put(static_cast<uint8_t>(u.state)), out.Put(u.by), out.Put(u.incarnation);
-      out.Put(u.about.program), out.Put(u.about.config);
+      out.Put(u.member), out.Put(static_cast<uint8_t>(u.state)), out.Put(u.reporter), out.Put(u.incarnation);
+      out.Put(u.version.program), out.Put(u.version.config);
     }
   }
   return std::move(out.bytes);
 }
 
-std::optional<Message> Read(std::span<const uint8_t> bytes, size_t members, Fault* fault) {
-  *fault = Fault::kNone;
-  auto no = [&](Fault why) {
+std::optional<Message> Read(std::span<const uint8_t> bytes, size_t members, DecodeError* fault) {
+  *fault = DecodeError::kNone;
+  auto no = [&](DecodeError why) {
     *fault = why;
     return std::nullopt;
   };
-  if (bytes.size() < kHead || bytes.size() > kMostBytes) return no(Fault::kLength);
-  if (bytes[0] != 'L' || bytes[1] != 'M' || bytes[2] != kFormat) return no(Fault::kFormat);
+  if (bytes.size() < kHead || bytes.size() > kMaxDatagramBytes) return no(DecodeError::kLength);
+  if (bytes[0] != 'L' || bytes[1] != 'M' || bytes[2] != kFormat) return no(DecodeError::kFormat);
   Reader reader(bytes.subspan(3));
   Message m;
   auto kind = reader.Take<uint8_t>();
-  if (kind < 1 || kind > static_cast<uint8_t>(Kind::kEntries)) return no(Fault::kKind);
+  if (kind < 1 || kind > static_cast<uint8_t>(Kind::kEntries)) return no(DecodeError::kKind);
   m.kind = static_cast<Kind>(kind);
   m.from = reader.Take<uint16_t>(), m.target = reader.Take<uint16_t>();
   m.sequence = reader.Take<uint32_t>(), m.digest = reader.Take<uint64_t>();
-  if (m.from >= members || m.target >= members) return no(Fault::kNumber);
+  if (m.from >= members || m.target >= members) return no(DecodeError::kNumber);
   while (!reader.left.empty()) {
-    if (reader.left.size() < kSectionHead) return no(Fault::kSection);
+    if (reader.left.size() < kSectionHead) return no(DecodeError::kSection);
     auto section = reader.Take<uint8_t>();
     auto length = reader.Take<uint8_t>();
-    if (length > reader.left.size()) return no(Fault::kSection);
+    if (length > reader.left.size()) return no(DecodeError::kSection);
     std::span<const uint8_t> content = reader.left.first(length);
     reader.left = reader.left.subspan(length);
     if (section == kUpdates) {
-      Fault wrong = ReadUpdates(content, &m.updates);
-      if (wrong != Fault::kNone) return no(wrong);
+      DecodeError wrong = ReadUpdates(content, &m.updates);
+      if (wrong != DecodeError::kNone) return no(wrong);
     } else if (section == kPartDigests) {
-      if (content.size() != kParts * kPart || !m.parts.empty()) return no(Fault::kSection);
+      if (content.size() != kParts * kPart || !m.parts.empty()) return no(DecodeError::kSection);
       for (Reader digests(content); !digests.left.empty();) m.parts.push_back(digests.Take<uint32_t>());
     }
   }
--- a/src/membership/message.h
+++ b/src/membership/message.h
@@ -13,9 +13,9 @@
 
 namespace lemonchute::membership {
 
-inline constexpr size_t kMostBytes = 256;     // of a datagram (PROTOCOL, Between gateways)
-inline constexpr size_t kMostMembers = 8192;  // numbers are below this
-inline constexpr size_t kParts = 16;          // of a view, each with a digest of its own
+inline constexpr size_t kMaxDatagramBytes = 256;  // of a datagram (PROTOCOL, Between gateways)
+inline constexpr size_t kMostMembers = 8192;      // numbers are below this
+inline constexpr size_t kParts = 16;              // of a view, each with a digest of its own
 // An incarnation grows by one for each refutation: none comes near this in the life of a fleet.
 inline constexpr uint32_t kMostIncarnation = 1u << 30;
 
@@ -23,18 +23,18 @@
 enum class State : uint8_t { kAlive, kSuspect, kDead, kLeft };
 
 // What a member runs; it belongs to its incarnation, so that a change makes a new one.
-struct About {
+struct SoftwareVersion {
   uint32_t program = 0, config = 0;  // hashes of the version and of the configuration's content
-  auto operator<=>(const About&) const = default;
+  auto operator<=>(const SoftwareVersion&) const = default;
 };
 
 // One word on one member.
 struct Update {
   uint16_t member = 0;
   State state = State::kAlive;
-  uint16_t by = 0;  // on whose word
+  uint16_t reporter = 0;  // on whose word
   uint32_t incarnation = 0;
-  About about;
+  SoftwareVersion version;
   bool operator==(const Update&) const = default;
 };
 
@@ -62,11 +62,11 @@
 // At most kMostBytes; updates past what fits are left out.
 std::vector<uint8_t> Write(const Message& message);
 
-enum class Fault { kNone, kLength, kFormat, kKind, kNumber, kIncarnation, kSection };
-const char* Name(Fault fault);
+enum class DecodeError { kNone, kLength, kFormat, kKind, kNumber, kIncarnation, kSection };
+const char* Name(DecodeError fault);
 // None where the bytes are no such message; `fault` says why. Nothing in it is trusted but its form: sender
 // and target are below `members`, what words speak of below kMostMembers.
-std::optional<Message> Read(std::span<const uint8_t> bytes, size_t members, Fault* fault);
+std::optional<Message> Read(std::span<const uint8_t> bytes, size_t members, DecodeError* fault);
 
 }  // namespace lemonchute::membership
 
--- a/src/membership/probing.cpp
+++ b/src/membership/probing.cpp
@@ -30,9 +30,9 @@
 
 Micros Membership::SuspicionEnd(const Suspicion& suspicion) const {
   auto least = static_cast<double>(LeastSuspicion()), most = static_cast<double>(MostSuspicion());
-  size_t needed = std::min(kMaxConfirmations, settings_.members < 3 ? 0 : settings_.members - 2);
+  size_t needed = std::min(kMaxConfirmations, settings_.member_count < 3 ? 0 : settings_.member_count - 2);
   if (needed == 0) return suspicion.since + static_cast<Micros>(least);
-  auto more = static_cast<double>(suspicion.by.empty() ? 0 : suspicion.by.size() - 1);
+  auto more = static_cast<double>(suspicion.reporters.empty() ? 0 : suspicion.reporters.size() - 1);
   double wait = most - (most - least) * std::log(more + 1) / std::log(static_cast<double>(needed) + 1);
   return suspicion.since + static_cast<Micros>(std::max(least, wait));
 }
@@ -42,7 +42,7 @@
   return end - ((end - suspicion.since) >> (suspicion.queries + 1));
 }
 
-Micros Membership::NextAt() const {
+Micros Membership::NextTickAt() const {
   Micros next = next_period_;
   if (probe_.in_flight && !probe_.indirect_sent) next = std::min(next, probe_.indirect_at);
   for (const auto& [member, suspicion] : suspicions_)
@@ -53,7 +53,7 @@
 }
 
 void Membership::Tick(Micros now, Actions* out) {
-  Micros due = NextAt();
+  Micros due = NextTickAt();
   if (now < due) return;
   if (now - due > period_ / kStallFraction) RecoverFromStall(now, now - due);
   if (probe_.in_flight && !probe_.indirect_sent && now >= probe_.indirect_at) SendIndirectProbes(now, out);
@@ -67,7 +67,7 @@
   for (uint16_t member : expired) {
     Update dead = view_.WordOn(member);
     dead.state = State::kDead;
-    dead.by = settings_.self;
+    dead.reporter = settings_.self;
     Apply(now, dead, out);
   }
   if (now >= next_period_) {
@@ -78,7 +78,7 @@
 
 // This process was stopped or starved. Answers that it waits for may be unread, so they accuse nobody.
 void Membership::RecoverFromStall(Micros now, Micros late) {
-  ++counts_.held_up;
+  ++counts_.stalls;
   health_ = std::min(kMaxHealth, health_ + 1);
   probe_.in_flight = false;
   relays_.clear();
@@ -120,10 +120,10 @@
 // Randomized round robin: each round probes every member once, in a new order.
 // @return -1 where nobody else is present.
 int Membership::NextProbeTarget() {
-  for (size_t looked = 0; looked <= settings_.members; ++looked) {
+  for (size_t looked = 0; looked <= settings_.member_count; ++looked) {
     if (next_target_ >= probe_order_.size()) {
       probe_order_.clear();
-      for (size_t m = 0; m < settings_.members; ++m) {
+      for (size_t m = 0; m < settings_.member_count; ++m) {
         if (m != settings_.self && IsPresent(m)) probe_order_.push_back(static_cast<uint16_t>(m));
       }
       for (size_t i = probe_order_.size(); i > 1; --i)
@@ -141,7 +141,7 @@
   next_period_ = now + period_ * (1 + health_);
   if (RandomBelow(kDeadProbePeriods) == 0 && view_.Count(State::kDead) > 0) {
     size_t at = RandomBelow(view_.Count(State::kDead));
-    for (size_t m = 0; m < settings_.members; ++m) {
+    for (size_t m = 0; m < settings_.member_count; ++m) {
       if (view_.At(m).state != State::kDead || at-- > 0) continue;
       Message ping;
       ping.sequence = ++sequence_;
@@ -163,7 +163,7 @@
 
 std::vector<uint16_t> Membership::RandomPeers(size_t most, int but) {
   std::vector<uint16_t> all;
-  for (size_t m = 0; m < settings_.members; ++m) {
+  for (size_t m = 0; m < settings_.member_count; ++m) {
     bool fit = m != settings_.self && static_cast<int>(m) != but && view_.At(m).state == State::kAlive;
     if (fit) all.push_back(static_cast<uint16_t>(m));
   }
@@ -181,7 +181,7 @@
     ask.target = probe_.target;
     ask.sequence = probe_.sequence;
     if (!Send(now, helper, std::move(ask), out)) continue;
-    ++counts_.indirect;
+    ++counts_.indirect_probes;
     ++probe_.nacks_outstanding;
   }
 }
@@ -189,7 +189,7 @@
 void Membership::FailPendingProbe(Micros now, Actions* out) {
   if (!probe_.in_flight) return;
   probe_.in_flight = false;
-  ++counts_.failed;
+  ++counts_.failed_probes;
   // Lifeguard's local health: helpers that sent no nack either suggest that this member is at fault.
   health_ = std::min(kMaxHealth, health_ + probe_.nacks_outstanding);
   Suspect(now, probe_.target, out);
@@ -199,7 +199,7 @@
   Update word = view_.WordOn(member);
   if (word.state > State::kSuspect) return;
   word.state = State::kSuspect;
-  word.by = settings_.self;
+  word.reporter = settings_.self;
   Apply(now, word, out);
 }
 
--- a/src/membership/reading.cpp
+++ b/src/membership/reading.cpp
@@ -21,7 +21,7 @@
   return "";
 }
 
-Reading Membership::Read(Micros now) const {
+FleetStatus Membership::Status(Micros now) const {
   Micros heard = started_;
   for (size_t m = 0; m < peer_records_.size(); ++m) {
     if (m != settings_.self) heard = std::max(heard, peer_records_[m].at);
@@ -42,8 +42,8 @@
 
 Verdict Membership::Judge(Micros now) const {
   size_t heard_of = 1, expected = 0;
-  bool lately = settings_.members == 1;
-  for (size_t m = 0; m < settings_.members; ++m) {
+  bool lately = settings_.member_count == 1;
+  for (size_t m = 0; m < settings_.member_count; ++m) {
     const Entry& e = view_.At(m);
     expected += e.state != State::kLeft ? 1 : 0;
     if (m == settings_.self) continue;
--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -17,7 +17,7 @@
 uint64_t HashOf(size_t member, const Entry& e) {
   State state = e.state == State::kSuspect ? State::kAlive : e.state;
   uint64_t who = Mix((static_cast<uint64_t>(member) << 8) ^ static_cast<uint64_t>(state));
-  return Mix(who ^ (static_cast<uint64_t>(e.about.program) << 32) ^ e.about.config);
+  return Mix(who ^ (static_cast<uint64_t>(e.version.program) << 32) ^ e.version.config);
 }
 
 }  // namespace
@@ -30,7 +30,7 @@
   std::erase_if(rumours_, [&](const Rumour& r) { return r.member >= members; });
   entries_.resize(members);
   for (size_t m = had; m < members; ++m) {
-    entries_[m].by = self_, entries_[m].since = now;
+    entries_[m].reporter = self_, entries_[m].since = now;
     Count(m, 1);
   }
 }
@@ -49,12 +49,12 @@
   Entry& e = entries_[u.member];
   bool newer = u.incarnation != e.incarnation ? u.incarnation > e.incarnation
                : u.state != e.state           ? u.state > e.state
-                                              : u.about > e.about;
+                                              : u.version > e.version;
   if (!newer) return false;
   Count(u.member, -1);
   if (u.state != e.state) e.since = now;
-  e.state = u.state, e.incarnation = u.incarnation, e.by = u.by;
-  e.about = u.about;
+  e.state = u.state, e.incarnation = u.incarnation, e.reporter = u.reporter;
+  e.version = u.version;
   Count(u.member, 1);
   Spread(u.member);
   return true;
@@ -62,11 +62,11 @@
 
 Update View::WordOn(size_t member) const {
   const Entry& e = entries_[member];
-  return {static_cast<uint16_t>(member), e.state, e.by, e.incarnation, e.about};
+  return {static_cast<uint16_t>(member), e.state, e.reporter, e.incarnation, e.version};
 }
 
-void View::Confirm(size_t member, uint16_t by) {
-  entries_[member].by = by;
+void View::Confirm(size_t member, uint16_t reporter) {
+  entries_[member].reporter = reporter;
   Spread(member);
 }
 
--- a/src/membership/view.h
+++ b/src/membership/view.h
@@ -15,8 +15,8 @@
 struct Entry {
   State state = State::kAlive;
   uint32_t incarnation = 0;  // 0: presumed from the list of peers, nobody has spoken of it
-  uint16_t by = 0;
-  About about;
+  uint16_t reporter = 0;
+  SoftwareVersion version;
   Micros since = 0;  // in that state
 };
 
@@ -44,7 +44,7 @@
   // Up to `most` words to spread, those told least often first; each is given out `times` times at most.
   std::vector<Update> ToSpread(size_t most, int times);
   // Another says the same of it: told on with that one's name.
-  void Confirm(size_t member, uint16_t by);
+  void Confirm(size_t member, uint16_t reporter);
   // Puts a word back among those to spread.
   void Spread(size_t member);
 
--- a/src/net/members.cpp
+++ b/src/net/members.cpp
@@ -71,7 +71,7 @@
   for (size_t number = 0; number < view.size(); ++number) {
     const membership::Entry& entry = view.At(number);
     if (entry.state <= State::kSuspect && entry.incarnation > 0)
-      ++runs[{entry.about.program, entry.about.config}];
+      ++runs[{entry.version.program, entry.version.config}];
   }
   json list = json::array();
   for (const auto& [about, count] : runs) {
@@ -106,7 +106,7 @@
   if (restart) return Bind();
   if (!membership_) return;
   membership_->Resize(Now(), config_->peers.size());
-  membership_->Tell(Now(), {ProgramId(), config_->config});
+  membership_->SetVersion(Now(), {ProgramId(), config_->config});
   LogView();
 }
 
@@ -141,11 +141,11 @@
 void Members::StartSpeaking() {
   bind_failure_logged_ = false;
   membership::Settings settings;
-  settings.self = config_->self, settings.members = config_->peers.size();
+  settings.self = config_->self, settings.member_count = config_->peers.size();
   // A seed of its own for each start, so that members that start at once probe in different orders.
   settings.seed = static_cast<uint64_t>(Now()) * 0x9e3779b97f4a7c15ULL + static_cast<uint64_t>(getpid());
-  settings.about = {ProgramId(), config_->config};
-  settings.in_per_s = config_->in_per_s, settings.share = config_->share;
+  settings.version = {ProgramId(), config_->config};
+  settings.receive_limit_per_s = config_->in_per_s, settings.rate_share = config_->share;
   membership_.emplace(settings, Now());
   error_code ignored;
   udp::endpoint local = socket_.local_endpoint(ignored);
@@ -169,7 +169,7 @@
         continue;
       }
       membership::Actions actions;
-      membership_->Heard(Now(), MemberAt(sender), {datagram_.data(), bytes}, &actions);
+      membership_->OnDatagram(Now(), MemberAt(sender), {datagram_.data(), bytes}, &actions);
       Execute(actions);
     }
     Read();
@@ -183,7 +183,8 @@
 }
 
 void Members::ArmTick() {
-  tick_timer_.expires_at(asio::steady_timer::time_point(std::chrono::microseconds(membership_->NextAt())));
+  tick_timer_.expires_at(
+      asio::steady_timer::time_point(std::chrono::microseconds(membership_->NextTickAt())));
   tick_timer_.async_wait([this](error_code cancelled) {
     if (cancelled || !membership_) return;
     Tick();
@@ -204,7 +205,7 @@
     send_failed_ += failed ? 1 : 0;
   }
   for (const membership::Change& change : actions.changes) {
-    deaths_ += change.is == State::kDead ? 1 : 0;
+    deaths_ += change.current == State::kDead ? 1 : 0;
     LogChange(change);
   }
   LogView();
@@ -225,7 +226,7 @@
     std::fprintf(stderr, "members: %llu more changes\n",
                  static_cast<unsigned long long>(std::exchange(unlogged_changes_, 0)));
   std::fprintf(stderr, "members: %d is %s, was %s: by %d, incarnation %u\n", change.member,
-               StateName(change.is), StateName(change.was), change.by, change.incarnation);
+               StateName(change.current), StateName(change.previous), change.reporter, change.incarnation);
 }
 
 // The digest of the view, in the form of docs/LAB.md. Intermediate digests may be left out, the last one is
@@ -269,7 +270,7 @@
 void Members::Return() {
   left_fleet_ = false;
   if (!membership_) return;
-  membership_->Return(Now());
+  membership_->Rejoin(Now());
   LogView();
 }
 
@@ -280,31 +281,32 @@
   const membership::View& view = membership_->view();
   for (State state : {State::kAlive, State::kSuspect, State::kDead, State::kLeft})
     line(std::string("members_") + StateName(state), view.Count(state));
-  membership::Reading reading = membership_->Read(Now());
+  membership::FleetStatus reading = membership_->Status(Now());
   line("members_verdict", static_cast<uint64_t>(reading.verdict));
   line("members_agree_permille", static_cast<uint64_t>(1000 * reading.agreement));
   line("members_health", static_cast<uint64_t>(membership_->health()));
   const membership::Counts& counts = membership_->counts();
   for (auto [name, value] : {std::pair{"sent", counts.sent},
-                             {"heard", counts.heard},
+                             {"heard", counts.received},
                              {"probes", counts.probes},
-                             {"indirect", counts.indirect},
-                             {"failed", counts.failed},
-                             {"refuted", counts.refuted},
+                             {"indirect", counts.indirect_probes},
+                             {"failed", counts.failed_probes},
+                             {"refuted", counts.refutations},
                              {"repairs", counts.repairs},
-                             {"held_up", counts.held_up},
-                             {"paced", counts.paced},
-                             {"dropped_stranger", counts.strangers},
-                             {"dropped_misnumbered", counts.misnumbered},
-                             {"dropped_flood", counts.flooded},
-                             {"dropped_claimed", counts.claimed},
-                             {"words_beyond", counts.beyond},
+                             {"held_up", counts.stalls},
+                             {"paced", counts.rate_limited},
+                             {"dropped_stranger", counts.unknown_senders},
+                             {"dropped_misnumbered", counts.sender_mismatches},
+                             {"dropped_flood", counts.over_sender_rate},
+                             {"dropped_claimed", counts.impersonations},
+                             {"words_beyond", counts.unknown_members},
                              {"deaths", deaths_},
                              {"send_failed", send_failed_},
                              {"receive_failed", receive_failures_}})
     line(std::string("members_") + name, value);
-  for (size_t i = 1; i < counts.bad.size(); ++i)
-    line(std::string("members_dropped_") + Name(static_cast<membership::Fault>(i)), counts.bad[i]);
+  for (size_t i = 1; i < counts.malformed.size(); ++i)
+    line(std::string("members_dropped_") + Name(static_cast<membership::DecodeError>(i)),
+         counts.malformed[i]);
 }
 
 std::optional<AdminResponse> Members::OnCall(const AdminRequest& call) const {
@@ -327,12 +329,12 @@
   if (!membership_) return out.dump(1) + "\n";
   Micros now = Now();
   const membership::View& view = membership_->view();
-  membership::Reading reading = membership_->Read(now);
+  membership::FleetStatus reading = membership_->Status(now);
   out["self"] = config_->self;
   out["verdict"] = Name(reading.verdict);
   out["usable"] = reading.Usable();
   out["agreement"] = reading.agreement;
-  out["heard_s"] = WholeMillisecondsAsSeconds(reading.age);
+  out["heard_s"] = WholeMillisecondsAsSeconds(reading.since_received);
   out["health"] = membership_->health();
   out["digest"] = Hex(view.digest(), 16);
   for (State state : {State::kAlive, State::kSuspect, State::kDead, State::kLeft})
@@ -350,14 +352,14 @@
   json member = {{"number", number},
                  {"state", StateName(entry.state)},
                  {"incarnation", entry.incarnation},
-                 {"by", entry.by},
+                 {"by", entry.reporter},
                  {"since_s", WholeMillisecondsAsSeconds(now - entry.since)}};
   if (entry.incarnation > 0) {
-    member["program"] = Hex(entry.about.program, 8);
-    member["config"] = Hex(entry.about.config, 8);
+    member["program"] = Hex(entry.version.program, 8);
+    member["config"] = Hex(entry.version.config, 8);
   }
-  if (number != config_->self && membership_->HeardAt(number) >= 0)
-    member["heard_s"] = WholeMillisecondsAsSeconds(now - membership_->HeardAt(number));
+  if (number != config_->self && membership_->LastReceivedAt(number) >= 0)
+    member["heard_s"] = WholeMillisecondsAsSeconds(now - membership_->LastReceivedAt(number));
   return member;
 }
 
--- a/src/net/members.h
+++ b/src/net/members.h
@@ -64,7 +64,7 @@
   udp::socket socket_;
   asio::steady_timer tick_timer_, bind_retry_timer_, view_log_timer_;
   // One byte longer than the longest datagram, to detect longer ones.
-  std::array<uint8_t, membership::kMostBytes + 1> datagram_;
+  std::array<uint8_t, membership::kMaxDatagramBytes + 1> datagram_;
   bool bind_failure_logged_ = false;
   bool handed_over_ = false, left_fleet_ = false;
   double log_budget_;  // lines that may be logged at log_budget_at_
--- a/tests/membership_measure.cpp
+++ b/tests/membership_measure.cpp
@@ -40,9 +40,9 @@
     std::set<std::pair<int, uint32_t>> wrong;  // each false death once, however many believe it
     uint64_t believed = 0;
     net.on_change = [&](int, const Change& change) {
-      if (change.member == victim && change.is >= State::kSuspect && suspected < 0) suspected = net.now;
+      if (change.member == victim && change.current >= State::kSuspect && suspected < 0) suspected = net.now;
       bool lives = net.members[change.member].core != nullptr && !net.members[change.member].stopped;
-      if (change.is != State::kDead || !lives || change.member == victim) return;
+      if (change.current != State::kDead || !lives || change.member == victim) return;
       wrong.insert({change.member, change.incarnation});
       ++believed;
     };
@@ -103,7 +103,7 @@
     from = net.now;
     herd.Add(Seconds(from, net.RunUntil(from + 300 * kSecond, [&] {
       return net.OneDigest() &&
-             net.members[9].core->view().At(static_cast<size_t>(killed[0])).about.program == 2;
+             net.members[9].core->view().At(static_cast<size_t>(killed[0])).version.program == 2;
     })));
     peak = 0;
     for (auto& m : net.members) peak = std::max(peak, static_cast<double>(m.peak_in));
--- a/tests/membership_net.h
+++ b/tests/membership_net.h
@@ -31,11 +31,12 @@
 
   Net(size_t count, uint64_t seed) : random_(seed), members(count) {}
 
-  void Start(int m, About about = {1, 1}) {
+  void Start(int m, SoftwareVersion version = {1, 1}) {
     Member& one = members[static_cast<size_t>(m)];
     Settings settings;
-    settings.self = static_cast<uint16_t>(m), settings.members = members.size(), settings.seed = random_();
-    settings.about = about;
+    settings.self = static_cast<uint16_t>(m), settings.member_count = members.size(),
+    settings.seed = random_();
+    settings.version = version;
     one.core = std::make_unique<Membership>(settings, now);
     one.stopped = false;
     ++one.life;
@@ -58,7 +59,7 @@
     auto waiting = std::move(one.waiting);
     one.waiting.clear();
     for (const auto& datagram : waiting) {
-      Do(m, [&](Actions* out) { one.core->Heard(now, datagram.first, datagram.second, out); });
+      Do(m, [&](Actions* out) { one.core->OnDatagram(now, datagram.first, datagram.second, out); });
     }
   }
   void Do(int m, const std::function<void(Actions*)>& what) {
@@ -93,7 +94,7 @@
     Member& one = members[static_cast<size_t>(m)];
     if (one.core == nullptr) return;
     uint64_t plan = ++one.planned, life = one.life;
-    At(one.core->NextAt(), [this, m, plan, life] {
+    At(one.core->NextTickAt(), [this, m, plan, life] {
       Member& later = members[static_cast<size_t>(m)];
       if (later.core == nullptr || later.life != life || later.planned != plan || later.stopped) return;
       Do(m, [&](Actions* out) { later.core->Tick(now, out); });
@@ -117,7 +118,7 @@
     std::erase_if(one.in, [&](Micros at) { return at + kSecond <= now; });
     one.peak_in = std::max(one.peak_in, one.in.size());
     if (one.stopped) return one.waiting.emplace_back(from, bytes), void();
-    Do(to, [&](Actions* out) { one.core->Heard(now, from, bytes, out); });
+    Do(to, [&](Actions* out) { one.core->OnDatagram(now, from, bytes, out); });
   }
 
   std::mt19937_64 random_;
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -17,7 +17,7 @@
 }
 
 TEST(MembershipMessage, ReadsBackWhatWasWritten) {
-  Fault fault = Fault::kNone;
+  DecodeError fault = DecodeError::kNone;
   auto read = Read(Write(Full()), 10, &fault);
   ASSERT_TRUE(read) << Name(fault);
   EXPECT_EQ(read->kind, Kind::kDigests);
@@ -27,7 +27,7 @@
   EXPECT_EQ(read->parts, Full().parts);
   Message crowded = Full();
   crowded.updates.assign(99, crowded.updates[0]);
-  EXPECT_LE(Write(crowded).size(), kMostBytes);
+  EXPECT_LE(Write(crowded).size(), kMaxDatagramBytes);
   EXPECT_EQ(Read(Write(crowded), 10, &fault)->updates.size(), UpdatesThatFit(true));
 }
 
@@ -44,14 +44,14 @@
       0,    5,    1,    0,    2,    0,    0,    0,    9,  // member, state, by, incarnation
       0xa1, 0xa2, 0xa3, 0xa4, 0xb1, 0xb2, 0xb3, 0xb4};    // program, configuration
   EXPECT_EQ(Write(ping), bytes);
-  Fault fault = Fault::kNone;
+  DecodeError fault = DecodeError::kNone;
   EXPECT_EQ(Read(bytes, 8, &fault)->updates, ping.updates);
 }
 
 TEST(MembershipMessage, WhatANewerVersionAddsIsSkipped) {
   std::vector<uint8_t> bytes = Write(Full());
   for (uint8_t byte : {uint8_t{200}, uint8_t{3}, uint8_t{1}, uint8_t{2}, uint8_t{3}}) bytes.push_back(byte);
-  Fault fault = Fault::kNone;
+  DecodeError fault = DecodeError::kNone;
   auto read = Read(bytes, 10, &fault);
   ASSERT_TRUE(read);
   EXPECT_EQ(read->updates, Full().updates);
@@ -66,23 +66,24 @@
   };
   struct Case {
     std::vector<uint8_t> bytes;
-    Fault fault;
+    DecodeError fault;
   };
-  for (const Case& c : {Case{{}, Fault::kLength}, Case{std::vector<uint8_t>(257, 'L'), Fault::kLength},
-                        Case{bent(2, 9), Fault::kFormat}, Case{bent(3, 99), Fault::kKind},
-                        Case{bent(4, 200), Fault::kNumber}, Case{bent(21, 255), Fault::kSection},
-                        Case{bent(88, 200), Fault::kNumber}, Case{bent(90, 7), Fault::kSection},
-                        Case{bent(91, 200), Fault::kNumber}, Case{bent(93, 0x7f), Fault::kIncarnation}}) {
-    Fault fault = Fault::kNone;
+  for (const Case& c :
+       {Case{{}, DecodeError::kLength}, Case{std::vector<uint8_t>(257, 'L'), DecodeError::kLength},
+        Case{bent(2, 9), DecodeError::kFormat}, Case{bent(3, 99), DecodeError::kKind},
+        Case{bent(4, 200), DecodeError::kNumber}, Case{bent(21, 255), DecodeError::kSection},
+        Case{bent(88, 200), DecodeError::kNumber}, Case{bent(90, 7), DecodeError::kSection},
+        Case{bent(91, 200), DecodeError::kNumber}, Case{bent(93, 0x7f), DecodeError::kIncarnation}}) {
+    DecodeError fault = DecodeError::kNone;
     EXPECT_FALSE(Read(c.bytes, 10, &fault));
     EXPECT_EQ(Name(fault), std::string(Name(c.fault)));
   }
   std::mt19937_64 random(1);
-  Fault fault = Fault::kNone;
+  DecodeError fault = DecodeError::kNone;
   for (size_t length = 0; length <= sound.size(); ++length) Read({sound.data(), length}, 10, &fault);
   for (int i = 0; i < 100000; ++i) {
     std::vector<uint8_t> bytes = sound;
-    bytes.resize(random() % (kMostBytes + 8));
+    bytes.resize(random() % (kMaxDatagramBytes + 8));
     for (int n = static_cast<int>(random() % 8); n > 0 && !bytes.empty(); --n)
       bytes[random() % bytes.size()] = static_cast<uint8_t>(random());
     if (i % 4 == 0) {
@@ -104,18 +105,18 @@
   Message third;
   third.from = 3;
   std::vector<uint8_t> bytes = Write(third);
-  core.Heard(net.now, -1, bytes, &out);
-  core.Heard(net.now, 99, bytes, &out);
-  core.Heard(net.now, 2, bytes, &out);  // it says that it is 3
+  core.OnDatagram(net.now, -1, bytes, &out);
+  core.OnDatagram(net.now, 99, bytes, &out);
+  core.OnDatagram(net.now, 2, bytes, &out);  // it says that it is 3
   std::vector<uint8_t> noise(256, 0xab);
-  core.Heard(net.now, 1, noise, &out);
-  EXPECT_EQ(core.counts().strangers, 2u);
-  EXPECT_EQ(core.counts().misnumbered, 1u);
-  EXPECT_EQ(core.counts().bad[static_cast<size_t>(Fault::kFormat)], 1u);
+  core.OnDatagram(net.now, 1, noise, &out);
+  EXPECT_EQ(core.counts().unknown_senders, 2u);
+  EXPECT_EQ(core.counts().sender_mismatches, 1u);
+  EXPECT_EQ(core.counts().malformed[static_cast<size_t>(DecodeError::kFormat)], 1u);
   Message stale;
   stale.from = 1, stale.updates = {{2, State::kDead, 1, 0, {}}};
   size_t sent = out.send.size();
-  for (int i = 0; i < 10000; ++i) core.Heard(net.now, 1, Write(stale), &out);
+  for (int i = 0; i < 10000; ++i) core.OnDatagram(net.now, 1, Write(stale), &out);
   EXPECT_EQ(core.view().digest(), digest);
   // No answer amplifies: what goes out is bounded by the pace, whatever comes in.
   EXPECT_LE(out.send.size() - sent, 15u);
@@ -124,7 +125,7 @@
 struct Fleet {
   Fleet(size_t members, uint64_t seed) : net(members, seed) {
     net.on_change = [this](int, const Change& change) {
-      if (change.is == State::kDead) ++deaths[change.member];
+      if (change.current == State::kDead) ++deaths[change.member];
     };
     net.StartAll();
     net.Run(15 * kSecond);
@@ -161,17 +162,17 @@
                                  [&] { return fleet.net.All(7, State::kAlive) && fleet.net.OneDigest(); }),
               0)
         << seed;
-    EXPECT_EQ(fleet.net.members[3].core->view().At(7).about, (About{2, 2}));
+    EXPECT_EQ(fleet.net.members[3].core->view().At(7).version, (SoftwareVersion{2, 2}));
     // And at once, before anybody has noticed: what it runs now is known all the same.
     fleet.net.Kill(9);
     fleet.net.Start(9, {3, 3});
-    EXPECT_GE(
-        fleet.net.RunUntil(
-            fleet.net.now + kBound,
-            [&] {
-              return fleet.net.OneDigest() && fleet.net.members[3].core->view().At(9).about == About{3, 3};
-            }),
-        0)
+    EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kBound,
+                                 [&] {
+                                   return fleet.net.OneDigest() &&
+                                          fleet.net.members[3].core->view().At(9).version ==
+                                              SoftwareVersion{3, 3};
+                                 }),
+              0)
         << seed;
   }
 }
@@ -193,7 +194,7 @@
   EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kBound,
                                [&] { return fleet.net.All(3, State::kDead) && fleet.net.OneDigest(); }),
             0);
-  fleet.net.Do(7, [&](Actions*) { seventh.Return(fleet.net.now); });
+  fleet.net.Do(7, [&](Actions*) { seventh.Rejoin(fleet.net.now); });
   EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kBound,
                                [&] { return fleet.net.All(7, State::kAlive) && fleet.net.OneDigest(); }),
             0);
@@ -207,7 +208,7 @@
     fleet.net.Kill(11);
     for (int m = 0; m < 11; m += 2) fleet.net.members[static_cast<size_t>(m)].core->Resize(fleet.net.now, 11);
     fleet.net.Run(fleet.net.now + 10 * kSecond);
-    EXPECT_GT(fleet.net.members[0].core->counts().beyond, 0u);
+    EXPECT_GT(fleet.net.members[0].core->counts().unknown_members, 0u);
     EXPECT_EQ(fleet.net.members[0].core->view().size(), 11u);
     EXPECT_EQ(fleet.net.members[1].core->view().Count(State::kAlive), 11u);
     for (int m = 0; m < 11; m += 2) fleet.net.members[static_cast<size_t>(m)].core->Resize(fleet.net.now, 12);
@@ -235,20 +236,20 @@
   for (int i = 0; i < 1000; ++i) {
     net.now += 10'000;
     Actions out;
-    for (int n = 0; n < 100; ++n) core.Heard(net.now, 1, flood, &out);
-    if (i % 50 == 0) core.Heard(net.now, 2, honest, &out);  // two a second
+    for (int n = 0; n < 100; ++n) core.OnDatagram(net.now, 1, flood, &out);
+    if (i % 50 == 0) core.OnDatagram(net.now, 2, honest, &out);  // two a second
     for (const Datagram& d : out.send) answers += d.to == 2 ? 1 : 0;
   }
-  EXPECT_GT(core.counts().flooded, 90000u);
+  EXPECT_GT(core.counts().over_sender_rate, 90000u);
   EXPECT_GE(answers, 19u);
-  EXPECT_EQ(core.Read(net.now).verdict, Verdict::kConverged);
+  EXPECT_EQ(core.Status(net.now).verdict, Verdict::kConverged);
   ping.from = 0;
   Actions out;
-  core.Heard(net.now, 0, Write(ping), &out);
+  core.OnDatagram(net.now, 0, Write(ping), &out);
   EXPECT_TRUE(out.send.empty());
-  EXPECT_EQ(core.counts().claimed, 1u);
-  EXPECT_EQ(core.Read(net.now).verdict, Verdict::kCutOff);
-  EXPECT_FALSE(core.Read(net.now).Usable());
+  EXPECT_EQ(core.counts().impersonations, 1u);
+  EXPECT_EQ(core.Status(net.now).verdict, Verdict::kCutOff);
+  EXPECT_FALSE(core.Status(net.now).Usable());
 }
 
 TEST(Membership, ARestartOfAllATenthAtATimeIsNoDeath) {
@@ -268,7 +269,7 @@
       if (!fleet.net.OneDigest()) return false;
       const View& view = fleet.net.members[0].core->view();
       for (size_t m = 0; m < kMembers; ++m) {
-        if (view.At(m).state != State::kAlive || view.At(m).about != About{2, 2}) return false;
+        if (view.At(m).state != State::kAlive || view.At(m).version != SoftwareVersion{2, 2}) return false;
       }
       return true;
     };
@@ -285,7 +286,7 @@
   for (int m : {1, 2, 3}) fleet.net.GoOn(m);
   EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kBound, [&] { return fleet.net.OneDigest(); }), 0);
   EXPECT_TRUE(fleet.deaths.empty());
-  EXPECT_GE(fleet.net.members[1].core->counts().held_up, 1u);
+  EXPECT_GE(fleet.net.members[1].core->counts().stalls, 1u);
 }
 
 TEST(Membership, ACutAndItsHealAndTheFewWhoAreAlone) {
@@ -334,7 +335,7 @@
         case 3: cut[static_cast<size_t>(m)] ^= 1; break;
         case 4:
           net.Do(m, [&](Actions*) {
-            if (one.core && !one.stopped) one.core->Tell(net.now, {9, static_cast<uint32_t>(i)});
+            if (one.core && !one.stopped) one.core->SetVersion(net.now, {9, static_cast<uint32_t>(i)});
           });
           break;
       }
@@ -352,7 +353,7 @@
       return true;
     };
     EXPECT_GE(net.RunUntil(net.now + 2 * kBound, quiet), 0) << seed;
-    EXPECT_LE(net.longest(), kMostBytes);
+    EXPECT_LE(net.longest(), kMaxDatagramBytes);
     for (Net::Member& m : net.members) EXPECT_LE(m.peak_in, 60u) << seed;
   }
 }
