--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -31,26 +31,26 @@
   socklen_t size = sizeof(at);
   getsockname(probe, reinterpret_cast<sockaddr*>(&at), &size);
   close(probe);
-  fleet.net.SetListen(0, ntohs(at.sin_port));
+  fleet.net.SetListenPort(0, ntohs(at.sin_port));
   fleet.StartAll();
-  EXPECT_TRUE(SocketFree(fleet.net.Listen(0)));
+  EXPECT_TRUE(SocketFree(fleet.net.ListenPort(0)));
   json members = fleet.Members(0);
   EXPECT_EQ(members, (json{{"on", false}, {"speaks", false}}));
   EXPECT_EQ(Call(fleet.gateways[0]->ops_port, "GET", "/control/counters").body.find("members"),
             std::string::npos);
-  EXPECT_EQ(fleet.net.Sent(), 0);
+  EXPECT_EQ(fleet.net.SentCount(), 0);
   // Switched on at SIGHUP it speaks, switched off again it lets go.
   json on = fleet.ConfigOf(0);
   on["extensions"] = {{"membership", json::object()}};
   fleet.gateways[0]->Reconfigure(on);
-  EXPECT_SOON(fleet.net.Sent() > 0);
+  EXPECT_SOON(fleet.net.SentCount() > 0);
   EXPECT_TRUE(fleet.Members(0).at("speaks"));
   fleet.gateways[0]->Reconfigure(fleet.ConfigOf(0));
-  EXPECT_SOON(SocketFree(fleet.net.Listen(0)));
+  EXPECT_SOON(SocketFree(fleet.net.ListenPort(0)));
   EXPECT_EQ(fleet.Members(0), members);
   // And on once more: it left the fleet, not service.
   fleet.gateways[0]->Reconfigure(on);
-  EXPECT_SOON(fleet.State(0, 0) == "alive");
+  EXPECT_SOON(fleet.StateSeenBy(0, 0) == "alive");
 }
 
 TEST(Members, DeathsReturnsLeavesAndStopsAreKnownToAll) {
@@ -62,39 +62,39 @@
   EXPECT_EQ(seen.at("runs").size(), 1u);  // all run one program by one configuration
   const std::vector<int> others = {0, 1, 3, 4};
   fleet.Kill(2);
-  EXPECT_SOON(fleet.All(others, 2, "dead") && fleet.Agree(others));
+  EXPECT_SOON(fleet.AllSee(others, 2, "dead") && fleet.Agree(others));
   EXPECT_EQ(fleet.Members(0).at("states").at("alive"), 4);  // and nobody else
   // Back without memory, with another configuration: above what was believed, and told apart.
   uint32_t before = Incarnation(fleet, 0, 2);
   json other = fleet.ConfigOf(2);
   other["settings"]["prices"]["cross-zone"] = 0.03;
   fleet.Start(2, other);
-  EXPECT_SOON(fleet.All(kAll, 2, "alive") && fleet.Agree(kAll));
+  EXPECT_SOON(fleet.AllSee(kAll, 2, "alive") && fleet.Agree(kAll));
   EXPECT_GT(Incarnation(fleet, 0, 2), before);
   EXPECT_EQ(fleet.Members(0).at("runs").size(), 2u);
   // A stop is at most a suspicion that has not been answered; whoever goes on is there again.
   fleet.gateways[1]->Signal(SIGSTOP);
-  EXPECT_SOON(fleet.State(0, 1) != "alive");
+  EXPECT_SOON(fleet.StateSeenBy(0, 1) != "alive");
   fleet.gateways[1]->Signal(SIGCONT);
-  EXPECT_SOON(fleet.All(kAll, 1, "alive") && fleet.Agree(kAll));
+  EXPECT_SOON(fleet.AllSee(kAll, 1, "alive") && fleet.Agree(kAll));
   // A drain is a planned leave, and back in service is back.
   Call(fleet.gateways[3]->ops_port, "PUT", "/control/out-of-service");
-  EXPECT_SOON(fleet.All(kAll, 3, "left") && fleet.Agree(kAll));
+  EXPECT_SOON(fleet.AllSee(kAll, 3, "left") && fleet.Agree(kAll));
   Call(fleet.gateways[3]->ops_port, "PUT", "/control/in-service");
-  EXPECT_SOON(fleet.All(kAll, 3, "alive") && fleet.Agree(kAll));
+  EXPECT_SOON(fleet.AllSee(kAll, 3, "alive") && fleet.Agree(kAll));
   // SIGTERM too, and it is never taken for a death.
   const std::vector<int> left = {0, 1, 2, 3};
-  std::vector<long> deaths = fleet.Deaths(left);
+  std::vector<long> deaths = fleet.DeathCounts(left);
   fleet.gateways[4]->Signal(SIGTERM);
   EXPECT_EQ(fleet.gateways[4]->Exit(), 0);
   fleet.gateways[4].reset();
-  EXPECT_SOON(fleet.All(left, 4, "left") && fleet.Agree(left));
-  EXPECT_EQ(fleet.Deaths(left), deaths);
+  EXPECT_SOON(fleet.AllSee(left, 4, "left") && fleet.Agree(left));
+  EXPECT_EQ(fleet.DeathCounts(left), deaths);
   fleet.gateways[0]->Signal(SIGTERM);
   EXPECT_EQ(fleet.gateways[0]->Exit(), 0);
   EXPECT_NE(fleet.gateways[0]->rest.find("members: 2 is dead"), std::string::npos);
   fleet.gateways[0].reset();
-  EXPECT_LE(fleet.net.longest(), 256u);
+  EXPECT_LE(fleet.net.longest_datagram(), 256u);
 }
 
 TEST(Members, CutsAreSeenFromBothSidesAndHealToOneView) {
@@ -106,7 +106,7 @@
   fleet.net.SetPasses([](int from, int to) { return (from < 2) == (to < 2); });
   EXPECT_SOON(fleet.Members(0).at("verdict") == "cut off" && fleet.Members(1).at("verdict") == "cut off");
   EXPECT_FALSE(fleet.Members(0).at("usable"));
-  EXPECT_SOON(fleet.All({2, 3, 4}, 0, "dead") && fleet.Agree({2, 3, 4}));
+  EXPECT_SOON(fleet.AllSee({2, 3, 4}, 0, "dead") && fleet.Agree({2, 3, 4}));
   fleet.net.SetPasses([](int, int) { return true; });
   EXPECT_SOON(fleet.Agree(kAll) && fleet.Members(0).at("states").at("alive") == 5);
   // One way: 0 is heard by all and hears nobody. Whoever hears nothing is no use, and says so.
@@ -120,7 +120,7 @@
   PeerFleet fleet(3);
   fleet.StartAll();
   ASSERT_SOON(fleet.Agree({0, 1, 2}));
-  std::vector<long> deaths = fleet.Deaths({0, 2});
+  std::vector<long> deaths = fleet.DeathCounts({0, 2});
   auto fresh = fleet.NewProcess(fleet.ConfigOf(1), 1);
   EXPECT_FALSE(PeerFleet::MembersOf(*fresh).at("speaks"));  // one of the two
   EXPECT_TRUE(fleet.Members(1).at("speaks"));
@@ -134,8 +134,9 @@
   fleet.gateways[1] = std::move(fresh);
   EXPECT_SOON(fleet.Members(1).at("speaks") == true);
   EXPECT_SOON(fleet.Agree({0, 1, 2}));
-  EXPECT_SOON(fleet.All({0, 2}, 1, "alive"));  // until it has refuted, a busy machine may have it suspected
-  EXPECT_EQ(fleet.Deaths({0, 2}), deaths);
+  EXPECT_SOON(
+      fleet.AllSee({0, 2}, 1, "alive"));  // until it has refuted, a busy machine may have it suspected
+  EXPECT_EQ(fleet.DeathCounts({0, 2}), deaths);
 }
 
 TEST(Members, AFleetGrowsAndShrinksAtSighupWhileListsDiffer) {
@@ -145,7 +146,7 @@
   fleet.Start(3, fleet.ConfigOf(3, 4));
   fleet.gateways[0]->Reconfigure(fleet.ConfigOf(0, 4));
   // Two know of it, and two have not been told yet; nobody dies of that.
-  EXPECT_SOON(fleet.State(0, 3) == "alive" && Incarnation(fleet, 0, 3) > 0);
+  EXPECT_SOON(fleet.StateSeenBy(0, 3) == "alive" && Incarnation(fleet, 0, 3) > 0);
   EXPECT_EQ(fleet.Members(1).at("members").size(), 3u);
   EXPECT_SOON(Figure(fleet.gateways[1]->ops_port, "members_dropped_stranger") > 0);
   for (int m : {1, 2}) fleet.gateways[static_cast<size_t>(m)]->Reconfigure(fleet.ConfigOf(m, 4));
@@ -160,7 +161,7 @@
   PeerFleet fleet(3);
   fleet.StartAll();
   ASSERT_SOON(fleet.Agree({0, 1, 2}));
-  std::string sound = fleet.net.Last(1), other = fleet.net.Last(2);
+  std::string sound = fleet.net.LastDatagram(1), other = fleet.net.LastDatagram(2);
   int ops = fleet.gateways[0]->ops_port;
   auto counted = [&](const std::string& reason, long least) {
     return Figure(ops, "members_dropped_" + reason) >= least;
@@ -183,10 +184,10 @@
   EXPECT_SOON(counted("length", 2) && counted("format", 1) && counted("kind", 1) && counted("number", 1) &&
               counted("section", 1));
   // 10,000 in a burst: most are not even read as words, and what is answered stays within the pace.
-  long before = fleet.net.Sent();
+  long before = fleet.net.SentCount();
   for (int i = 0; i < 10000; ++i) fleet.net.Inject(1, 0, sound);
   EXPECT_SOON(counted("flood", 100));
-  EXPECT_LT(fleet.net.Sent() - before, 10000);
+  EXPECT_LT(fleet.net.SentCount() - before, 10000);
   EXPECT_SOON(fleet.Agree({0, 1, 2}) && fleet.Members(0).at("states").at("alive") == 3);
   auto client = fleet.gateways[0]->Connect();
   EXPECT_EQ(Ask(*client, kReady).status(), 200);
@@ -201,11 +202,12 @@
   json copied = fleet.ConfigOf(2);
   copied["peer_listen"] = fleet.ConfigOf(0).at("peer_listen");
   fleet.Start(0, copied);
-  fleet.net.SetListen(0, std::stoi(copied.at("peer_listen").get<std::string>().substr(10)));
+  fleet.net.SetListenPort(0, std::stoi(copied.at("peer_listen").get<std::string>().substr(10)));
   EXPECT_SOON(Figure(fleet.gateways[1]->ops_port, "members_dropped_misnumbered") > 0);
   EXPECT_SOON(Figure(fleet.gateways[0]->ops_port, "members_dropped_claimed") > 0);
   EXPECT_SOON(fleet.Members(0).at("verdict") == "cut off");
-  EXPECT_SOON(fleet.Agree({1, 2, 3}) && fleet.All({1, 2, 3}, 2, "alive") && fleet.All({1, 2, 3}, 0, "dead"));
+  EXPECT_SOON(fleet.Agree({1, 2, 3}) && fleet.AllSee({1, 2, 3}, 2, "alive") &&
+              fleet.AllSee({1, 2, 3}, 0, "dead"));
   // What is there goes on under its incarnation, however long the other one claims.
   uint32_t first = Incarnation(fleet, 1, 2);
   long refuted = Figure(fleet.gateways[2]->ops_port, "members_refuted");
--- a/tests/peer_fleet.h
+++ b/tests/peer_fleet.h
@@ -31,11 +31,11 @@
     return all;
   }
   // Where that number listens; 0: not known yet.
-  int Listen(int m) {
+  int ListenPort(int m) {
     std::lock_guard lock(mutex_);
     return listens_[static_cast<size_t>(m)];
   }
-  void SetListen(int m, int port) {
+  void SetListenPort(int m, int port) {
     std::lock_guard lock(mutex_);
     listens_[static_cast<size_t>(m)] = port;
   }
@@ -43,23 +43,23 @@
     std::lock_guard lock(mutex_);
     passes_ = std::move(passes);
   }
-  long Sent() {
+  long SentCount() {
     std::lock_guard lock(mutex_);
     return std::accumulate(sent_.begin(), sent_.end(), 0L);
   }
-  size_t longest() {
+  size_t longest_datagram() {
     std::lock_guard lock(mutex_);
     return longest_;
   }
   // A datagram that number `from` has sent, as it was on the way last.
-  std::string Last(int from) {
+  std::string LastDatagram(int from) {
     std::lock_guard lock(mutex_);
     return last_[from];
   }
   // As if member `from` had sent it; -1: from an address that is nobody's.
   void Inject(int from, int to, const std::string& bytes) {
     sockaddr_in at;
-    close(Loopback(&at, Listen(to)));
+    close(Loopback(&at, ListenPort(to)));
     sendto(from < 0 ? stranger_ : sockets_[static_cast<size_t>(from)], bytes.data(), bytes.size(), 0,
            reinterpret_cast<sockaddr*>(&at), sizeof(at));
   }
@@ -134,7 +134,7 @@
     config["settings"]["me"] = m, config["settings"]["peers-total"] = members;
     // A period of 0.1 s, so that what has to be seen is soon seen.
     config["settings"]["specifics"]["peer-in-per-s"] = 240;
-    config["peer_listen"] = "127.0.0.1:" + std::to_string(net.Listen(m));
+    config["peer_listen"] = "127.0.0.1:" + std::to_string(net.ListenPort(m));
     config["peers"] = net.Addresses(members);
     if (!extensions_.is_null()) config["extensions"] = extensions_;
     return config;
@@ -151,7 +151,7 @@
     EXPECT_NE(gateway->port, 0) << gateway->line;
     size_t at = gateway->earlier.find("speaks at 127.0.0.1:");
     if (at != std::string::npos)
-      net.SetListen(m, std::atoi(gateway->earlier.c_str() + gateway->earlier.find(':', at) + 1));
+      net.SetListenPort(m, std::atoi(gateway->earlier.c_str() + gateway->earlier.find(':', at) + 1));
   }
   void Start(int m) { Start(m, ConfigOf(m)); }
   void StartAll() {
@@ -168,15 +168,15 @@
     return json::parse(Call(process.ops_port, "GET", "/control/members").body, nullptr, false);
   }
   // What `at` believes of `m`.
-  std::string State(int at, int m) const {
+  std::string StateSeenBy(int at, int m) const {
     json members = Members(at).value("members", json::array());
     return static_cast<size_t>(m) < members.size() ? members[static_cast<size_t>(m)].at("state") : "";
   }
-  bool All(const std::vector<int>& at, int m, const std::string& state) const {
-    return std::all_of(at.begin(), at.end(), [&](int one) { return State(one, m) == state; });
+  bool AllSee(const std::vector<int>& at, int m, const std::string& state) const {
+    return std::all_of(at.begin(), at.end(), [&](int one) { return StateSeenBy(one, m) == state; });
   }
   // How often each has taken anyone for dead.
-  std::vector<long> Deaths(const std::vector<int>& at) const {
+  std::vector<long> DeathCounts(const std::vector<int>& at) const {
     std::vector<long> all;
     for (int one : at) all.push_back(Figure(gateways[static_cast<size_t>(one)]->ops_port, "members_deaths"));
     return all;
