--- a/src/budget/fleet.cpp
+++ b/src/budget/hierarchical_budgets.cpp
@@ -1,4 +1,4 @@
-#include "budget/fleet.h"
+#include "budget/hierarchical_budgets.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/budget/fleet.h
+++ b/src/budget/hierarchical_budgets.h
@@ -4,8 +4,8 @@
 // square root of the fleet's members.
 //
 // Follows Doorman's hierarchy of leased capacity, with an elected leader for each group.
-#ifndef LEMONCHUTE_BUDGET_FLEET_H_
-#define LEMONCHUTE_BUDGET_FLEET_H_
+#ifndef LEMONCHUTE_BUDGET_HIERARCHICAL_BUDGETS_H_
+#define LEMONCHUTE_BUDGET_HIERARCHICAL_BUDGETS_H_
 
 #include "budget/budgets.h"
 
@@ -45,4 +45,4 @@
 
 }  // namespace lemonchute::budget
 
-#endif  // LEMONCHUTE_BUDGET_FLEET_H_
+#endif  // LEMONCHUTE_BUDGET_HIERARCHICAL_BUDGETS_H_
--- a/tests/budget_world.h
+++ b/tests/budget_world.h
@@ -8,7 +8,7 @@
 #include <memory>
 #include <sstream>
 
-#include "budget/fleet.h"
+#include "budget/hierarchical_budgets.h"
 #include "virtual_time.h"
 
 namespace lemonchute::budget {
