--- a/tests/budget_measure.cpp
+++ b/tests/budget_measure.cpp
@@ -66,7 +66,7 @@
       auto& p = world.processes[static_cast<size_t>(n)];
       if (!p.core || !p.core->IsLeader(world.Clock(p))) continue;
       world.Kill(n);
-      world.At(world.now + kSecond, [&world, want, n] { world.Start(n), want(n); });
+      world.Schedule(world.now + kSecond, [&world, want, n] { world.Start(n), want(n); });
       break;
     }
     leader.values.push_back(share());
--- a/tests/budget_world.h
+++ b/tests/budget_world.h
@@ -92,7 +92,7 @@
   uint64_t Below(uint64_t n) { return random_() % n; }
 
  private:
-  void Arrived() override { Look(); }
+  void OnRunEnd() override { Look(); }
   double Uniform() { return static_cast<double>(random_() >> 11) * 0x1p-53; }
   void Look() {
     for (const Spec& spec : form.budgets) {
@@ -113,7 +113,7 @@
     Micros next = p.core->NextAt();
     if (next == INT64_MAX) return;
     auto wait = std::max<Micros>(1, static_cast<Micros>(static_cast<double>(next - Clock(p)) / p.rate) + 1);
-    At(now + wait, [this, n, plan, incarnation] {
+    Schedule(now + wait, [this, n, plan, incarnation] {
       Process& later = processes[static_cast<size_t>(n)];
       if (!later.core || later.incarnation != incarnation || later.planned != plan || later.stopped) return;
       Do(n, [&](OutgoingMessages* out) { later.core->Tick(Clock(later), out); });
@@ -129,7 +129,7 @@
     for (int copies = Uniform() < doubled ? 2 : 1; copies > 0; --copies) {
       Micros delay = 2'000 + static_cast<Micros>(Below(18'000));
       if (Uniform() < late) delay *= 100;
-      At(now + delay, [this, from, to = o.to, m = *read] {
+      Schedule(now + delay, [this, from, to = o.to, m = *read] {
         Process& p = processes[to];
         if (!p.core) return;
         if (p.stopped) return p.waiting.emplace_back(static_cast<uint16_t>(from), m), void();
--- a/tests/membership_measure.cpp
+++ b/tests/membership_measure.cpp
@@ -56,7 +56,7 @@
         auto m = static_cast<int>(random() % members);
         if (net.members[static_cast<size_t>(m)].stopped) continue;
         net.Stop(m);
-        net.At(net.now + static_cast<Micros>(random() % kSecond), [&net, m] { net.GoOn(m); });
+        net.Schedule(net.now + static_cast<Micros>(random() % kSecond), [&net, m] { net.GoOn(m); });
       }
       net.Run(net.now + kSecond);
     }
--- a/tests/membership_net.h
+++ b/tests/membership_net.h
@@ -94,7 +94,7 @@
     Member& one = members[static_cast<size_t>(m)];
     if (one.core == nullptr) return;
     uint64_t plan = ++one.planned, life = one.life;
-    At(one.core->NextTickAt(), [this, m, plan, life] {
+    Schedule(one.core->NextTickAt(), [this, m, plan, life] {
       Member& later = members[static_cast<size_t>(m)];
       if (later.core == nullptr || later.life != life || later.planned != plan || later.stopped) return;
       Do(m, [&](Actions* out) { later.core->Tick(now, out); });
@@ -107,7 +107,7 @@
       auto delay =
           least_delay + static_cast<Micros>(Uniform() * static_cast<double>(most_delay - least_delay));
       if (Uniform() < late) delay *= 10;
-      At(now + delay, [this, from, to, bytes] { Arrive(from, to, bytes); });
+      Schedule(now + delay, [this, from, to, bytes] { Arrive(from, to, bytes); });
     }
   }
   void Arrive(int from, int to, const std::vector<uint8_t>& bytes) {
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -180,7 +180,7 @@
 TEST(Membership, APlannedLeaveIsNeverADeath) {
   Fleet fleet(kMembers, 3);
   fleet.net.Do(7, [&](Actions* out) { fleet.net.members[7].core->Leave(fleet.net.now, out); });
-  fleet.net.At(fleet.net.now + kSecond, [&] { fleet.net.Kill(7); });
+  fleet.net.Schedule(fleet.net.now + kSecond, [&] { fleet.net.Kill(7); });
   EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kBound, [&] { return fleet.net.All(7, State::kLeft); }), 0);
   EXPECT_TRUE(fleet.deaths.empty());
 }
@@ -260,8 +260,8 @@
         fleet.net.Do(m, [&](Actions* out) {
           fleet.net.members[static_cast<size_t>(m)].core->Leave(fleet.net.now, out);
         });
-        fleet.net.At(fleet.net.now + kSecond, [&fleet, m] { fleet.net.Kill(m); });
-        fleet.net.At(fleet.net.now + 2 * kSecond, [&fleet, m] { fleet.net.Start(m, {2, 2}); });
+        fleet.net.Schedule(fleet.net.now + kSecond, [&fleet, m] { fleet.net.Kill(m); });
+        fleet.net.Schedule(fleet.net.now + 2 * kSecond, [&fleet, m] { fleet.net.Start(m, {2, 2}); });
       }
       fleet.net.Run(fleet.net.now + 3 * kSecond);
     }
--- a/tests/virtual_time.h
+++ b/tests/virtual_time.h
@@ -15,39 +15,43 @@
 class VirtualTime {
  public:
   virtual ~VirtualTime() = default;
-  void At(int64_t at, std::function<void()> what) { due_.push({at, ++order_, std::move(what)}); }
+  void Schedule(int64_t time, std::function<void()> action) {
+    events_.push({time, ++order_, std::move(action)});
+  }
   void Run(int64_t until) {
-    while (!due_.empty() && due_.top().at <= until) {
-      Due due = due_.top();
-      due_.pop();
-      now = due.at;
-      due.what();
+    while (!events_.empty() && events_.top().time <= until) {
+      Event event = events_.top();
+      events_.pop();
+      now = event.time;
+      event.action();
     }
     now = until;
-    Arrived();
+    OnRunEnd();
   }
   // Runs until `what` holds, looking each `step`; when it first held, or -1.
-  int64_t RunUntil(int64_t limit, const std::function<bool()>& what, int64_t step = 100'000) {
+  int64_t RunUntil(int64_t limit, const std::function<bool()>& condition, int64_t step = 100'000) {
     while (now < limit) {
-      if (what()) return now;
+      if (condition()) return now;
       Run(now + step);
     }
-    return what() ? now : -1;
+    return condition() ? now : -1;
   }
 
   int64_t now = 0;
 
  protected:
-  virtual void Arrived() {}  // at the end of each Run
+  virtual void OnRunEnd() {}  // at the end of each Run
 
  private:
-  struct Due {
-    int64_t at;
+  struct Event {
+    int64_t time;
     uint64_t order;
-    std::function<void()> what;
-    bool operator>(const Due& other) const { return at != other.at ? at > other.at : order > other.order; }
+    std::function<void()> action;
+    bool operator>(const Event& other) const {
+      return time != other.time ? time > other.time : order > other.order;
+    }
   };
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
+  std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   uint64_t order_ = 0;
 };
 
