--- a/lab/tests/cuts.cmake
+++ b/lab/tests/cuts.cmake
@@ -73,4 +73,4 @@
 lab_cut(storm net/members.cpp "    send_failed_ += failed ? 1 : 0;"
         "    for (int i = 0; i < 40; ++i) socket_.send_to(asio::buffer(datagram.bytes), config_->peers[datagram.to], 0, failed);")
 lab_cut(blind membership/view.cpp "  if (!newer) return false;"
-        "  if (!newer || (u.state == State::kDead && self_ % 2 == 0)) return false;")
+        "  if (!newer || (update.state == State::kDead && self_ % 2 == 0)) return false;")
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -31,7 +31,7 @@
       tokens_at_(now) {
   // Members that start in one instant don't probe in one.
   next_period_ = now + static_cast<Micros>(RandomBelow(static_cast<size_t>(period_)));
-  view_.Take({settings.self, State::kAlive, settings.self, 1, settings.version}, now);
+  view_.Merge({settings.self, State::kAlive, settings.self, 1, settings.version}, now);
 }
 
 size_t Membership::RandomBelow(size_t n) { return n == 0 ? 0 : static_cast<size_t>(random_() % n); }
@@ -43,14 +43,14 @@
          static_cast<int>(std::ceil(std::log10(static_cast<double>(settings_.member_count) + 1)));
 }
 
-void Membership::Refute(Micros now, uint32_t above) {
+void Membership::Refute(Micros now, uint32_t incarnation) {
   if (has_left_) return;
-  Update self = view_.WordOn(settings_.self);
-  self.incarnation = std::min(kMostIncarnation, above + 1);
+  Update self = view_.UpdateFor(settings_.self);
+  self.incarnation = std::min(kMaxIncarnation, incarnation + 1);
   self.state = State::kAlive;
   self.version = settings_.version;
   ++counts_.refutations;
-  view_.Take(self, now);
+  view_.Merge(self, now);
 }
 
 void Membership::Apply(Micros now, const Update& update, Actions* out) {
@@ -65,16 +65,16 @@
     return;
   }
   const Entry before = view_.At(update.member);
-  bool newer = view_.Take(update, now);
+  bool newer = view_.Merge(update, now);
   if (newer && before.state != update.state)
     out->changes.push_back({update.member, before.state, update.state, update.incarnation, update.reporter});
-  const Entry& is = view_.At(update.member);
-  if (is.state != State::kSuspect) {
+  const Entry& after = view_.At(update.member);
+  if (after.state != State::kSuspect) {
     suspicions_.erase(update.member);
     return;
   }
-  if (update.state != State::kSuspect || update.incarnation != is.incarnation) return;
-  auto [suspicion, fresh] = suspicions_.try_emplace(update.member, Suspicion{now, {}, 0});
+  if (update.state != State::kSuspect || update.incarnation != after.incarnation) return;
+  auto [suspicion, inserted] = suspicions_.try_emplace(update.member, Suspicion{now, {}, 0});
   if (newer) suspicion->second = {now, {}, 0};
   // Each of the first confirmations is gossiped, since it shortens the suspicion.
   bool confirms = suspicion->second.reporters.size() <= kMaxConfirmations &&
@@ -84,7 +84,7 @@
 
 bool Membership::ExceedsSenderRate(Micros now, PeerRecord* sender) const {
   double gained = kMaxSenderShare * RatePerS() * 1e-6 * static_cast<double>(now - sender->tokens_at);
-  sender->tokens = sender->at < 0 ? RatePerS() : std::min(RatePerS(), sender->tokens + gained);
+  sender->tokens = sender->received_at < 0 ? RatePerS() : std::min(RatePerS(), sender->tokens + gained);
   sender->tokens_at = now;
   if (sender->tokens < 1) return true;
   sender->tokens -= 1;
@@ -101,18 +101,18 @@
     ++counts_.over_sender_rate;
     return;
   }
-  DecodeError fault = DecodeError::kNone;
-  std::optional<Message> read = membership::Read(bytes, settings_.member_count, &fault);
-  if (!read) {
-    ++counts_.malformed[static_cast<size_t>(fault)];
+  DecodeError error = DecodeError::kNone;
+  std::optional<Message> decoded = membership::Decode(bytes, settings_.member_count, &error);
+  if (!decoded) {
+    ++counts_.malformed[static_cast<size_t>(error)];
     return;
   }
-  Message& message = *read;
+  Message& message = *decoded;
   if (message.from != from) {
     ++counts_.sender_mismatches;
     return;
   }
-  sender.at = now;
+  sender.received_at = now;
   sender.digest = message.digest;
   if (from == settings_.self) {
     ++counts_.impersonations;
@@ -135,7 +135,7 @@
       HandleAck(now, message, out);
       SendDigests(now, message.from, message.digest, out);
       break;
-    case Kind::kAskPing: HandlePingRequest(now, message, out); break;
+    case Kind::kPingRequest: HandlePingRequest(now, message, out); break;
     case Kind::kNack:
       if (probe_.in_flight && message.sequence == probe_.sequence) {
         probe_.nacks_outstanding = std::max(0, probe_.nacks_outstanding - 1);
@@ -153,7 +153,7 @@
   ack.sequence = ping.sequence;
   ack.target = settings_.self;
   for (const Update& update : ping.updates) {
-    Update ours = view_.WordOn(update.member);
+    Update ours = view_.UpdateFor(update.member);
     const bool newer = std::tie(ours.incarnation, ours.state) > std::tie(update.incarnation, update.state);
     if (newer && update.member != settings_.self) ack.updates.push_back(ours);
   }
@@ -177,42 +177,43 @@
   answer.kind = Kind::kEntries;
   answer.sequence = kEntriesAnswer;
   for (const Update& update : entries.updates) {
-    Update ours = view_.WordOn(update.member);
+    Update ours = view_.UpdateFor(update.member);
     if (ours != update && update.member != settings_.self) answer.updates.push_back(ours);
   }
   if (!answer.updates.empty()) Send(now, entries.from, std::move(answer), out);
 }
 
-void Membership::SendDigests(Micros now, uint16_t with, uint64_t digest, Actions* out) {
-  if (digest == view_.digest() || now < next_repair_) return;
+void Membership::SendDigests(Micros now, uint16_t peer, uint64_t peer_digest, Actions* out) {
+  if (peer_digest == view_.digest() || now < next_repair_) return;
   next_repair_ = now + period_;
   Message digests;
   digests.kind = Kind::kDigests;
-  digests.parts.assign(view_.parts().begin(), view_.parts().end());
-  if (Send(now, with, std::move(digests), out)) ++counts_.repairs;
+  digests.part_digests.assign(view_.part_digests().begin(), view_.part_digests().end());
+  if (Send(now, peer, std::move(digests), out)) ++counts_.repairs;
 }
 
 // Sends entries of one part that differs, from a random offset, so that several rounds cover the part.
-void Membership::HandleDigests(Micros now, const Message& m, Actions* out) {
-  if (m.parts.empty()) return;
-  size_t first = RandomBelow(kParts);
-  for (size_t i = 0; i < kParts; ++i) {
-    size_t part = (first + i) % kParts;
-    if (m.parts[part] == view_.parts()[part]) continue;
+void Membership::HandleDigests(Micros now, const Message& message, Actions* out) {
+  if (message.part_digests.empty()) return;
+  size_t first = RandomBelow(kViewParts);
+  for (size_t i = 0; i < kViewParts; ++i) {
+    size_t part = (first + i) % kViewParts;
+    if (message.part_digests[part] == view_.part_digests()[part]) continue;
     std::vector<size_t> members;
-    for (size_t member = part; member < settings_.member_count; member += kParts) members.push_back(member);
+    for (size_t member = part; member < settings_.member_count; member += kViewParts)
+      members.push_back(member);
     Message entries;
     entries.kind = Kind::kEntries;
     entries.sequence = kEntriesRequest;
     size_t from = RandomBelow(members.size());
     for (size_t n = 0; n < std::min(members.size(), UpdatesThatFit(false) - 2); ++n)
-      entries.updates.push_back(view_.WordOn(members[(from + n) % members.size()]));
-    Send(now, m.from, std::move(entries), out);
+      entries.updates.push_back(view_.UpdateFor(members[(from + n) % members.size()]));
+    Send(now, message.from, std::move(entries), out);
     return;
   }
 }
 
-bool Membership::Send(Micros now, uint16_t to, Message m, Actions* out) {
+bool Membership::Send(Micros now, uint16_t to, Message message, Actions* out) {
   // Every sender keeps to its rate, so no member receives more than that on average.
   tokens_ = std::min(RatePerS(), tokens_ + RatePerS() * 1e-6 * static_cast<double>(now - tokens_at_));
   tokens_at_ = now;
@@ -221,19 +222,20 @@
     return false;
   }
   tokens_ -= 1;
-  m.from = settings_.self;
-  m.digest = view_.digest();
+  message.from = settings_.self;
+  message.digest = view_.digest();
   // Always our own state, and the receiver's where it is suspected, so that it can refute (Lifeguard's buddy
   // system).
-  m.updates.insert(m.updates.begin(), view_.WordOn(settings_.self));
-  if (view_.At(to).state != State::kAlive) m.updates.insert(m.updates.begin() + 1, view_.WordOn(to));
-  size_t room = UpdatesThatFit(!m.parts.empty());
-  if (m.updates.size() < room) {
-    for (const Update& update : view_.ToSpread(room - m.updates.size(), GossipTransmitLimit()))
-      m.updates.push_back(update);
+  message.updates.insert(message.updates.begin(), view_.UpdateFor(settings_.self));
+  if (view_.At(to).state != State::kAlive)
+    message.updates.insert(message.updates.begin() + 1, view_.UpdateFor(to));
+  size_t room = UpdatesThatFit(!message.part_digests.empty());
+  if (message.updates.size() < room) {
+    for (const Update& update : view_.TakeGossip(room - message.updates.size(), GossipTransmitLimit()))
+      message.updates.push_back(update);
   }
   ++counts_.sent;
-  out->send.push_back({to, Write(m)});
+  out->send.push_back({to, Encode(message)});
   return true;
 }
 
@@ -241,9 +243,9 @@
   if (has_left_) return;
   has_left_ = true;
   probe_.in_flight = false;
-  Update self = view_.WordOn(settings_.self);
+  Update self = view_.UpdateFor(settings_.self);
   self.state = State::kLeft;
-  view_.Take(self, now);
+  view_.Merge(self, now);
   for (uint16_t other : RandomPeers(static_cast<size_t>(GossipTransmitLimit()), -1)) {
     Message ping;
     ping.sequence = ++sequence_;
@@ -257,25 +259,26 @@
   Refute(now, view_.At(settings_.self).incarnation);
 }
 
-void Membership::Resize(Micros now, size_t members) {
-  settings_.member_count = members;
-  view_.Resize(members, now);
-  peer_records_.resize(members);
+void Membership::Resize(Micros now, size_t member_count) {
+  settings_.member_count = member_count;
+  view_.Resize(member_count, now);
+  peer_records_.resize(member_count);
   probe_order_.clear();
   next_target_ = 0;
-  if (probe_.target >= members) probe_.in_flight = false;
-  std::erase_if(suspicions_, [&](const auto& one) { return one.first >= members; });
-  std::erase_if(relays_, [&](const Relay& r) { return r.requester >= members || r.target >= members; });
+  if (probe_.target >= member_count) probe_.in_flight = false;
+  std::erase_if(suspicions_, [&](const auto& one) { return one.first >= member_count; });
+  std::erase_if(relays_,
+                [&](const Relay& r) { return r.requester >= member_count || r.target >= member_count; });
 }
 
 void Membership::SetVersion(Micros now, const SoftwareVersion& version) {
   if (settings_.version == version) return;
   settings_.version = version;
   if (has_left_) return;  // said on its return
-  Update self = view_.WordOn(settings_.self);
+  Update self = view_.UpdateFor(settings_.self);
   self.version = version;
-  self.incarnation = std::min(kMostIncarnation, self.incarnation + 1);
-  view_.Take(self, now);
+  self.incarnation = std::min(kMaxIncarnation, self.incarnation + 1);
+  view_.Merge(self, now);
 }
 
 }  // namespace lemonchute::membership
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -100,21 +100,21 @@
   void Rejoin(Micros now);
   // Another list of peers: numbers from `members` on are forgotten, new ones presumed alive. `self` stays
   // below it.
-  void Resize(Micros now, size_t members);
+  void Resize(Micros now, size_t member_count);
   // What it runs has changed: a new incarnation says so.
   void SetVersion(Micros now, const SoftwareVersion& version);
 
   const View& view() const { return view_; }
-  Verdict Judge(Micros now) const;
+  Verdict ComputeVerdict(Micros now) const;
   FleetStatus Status(Micros now) const;
   // When that member's last datagram came; -1: none has.
-  Micros LastReceivedAt(size_t member) const { return peer_records_[member].at; }
+  Micros LastReceivedAt(size_t member) const { return peer_records_[member].received_at; }
   const Counts& counts() const { return counts_; }
   int health() const { return health_; }  // 0: well; each step slows its probes by one period
   Micros period() const { return period_; }
   // From the first suspicion of a member that is dead to its death in this view: the least and the most.
-  Micros LeastSuspicion() const;
-  Micros MostSuspicion() const;
+  Micros MinSuspicionTimeout() const;
+  Micros MaxSuspicionTimeout() const;
 
  private:
   struct Probe {
@@ -131,11 +131,11 @@
   };
   struct Relay {  // a ping in place of the requester
     uint16_t requester = 0, target = 0;
-    uint32_t sequence = 0, asker_sequence = 0;
+    uint32_t sequence = 0, requester_sequence = 0;
     Micros nack_at = 0;
   };
   struct PeerRecord {  // what was received from a member
-    Micros at = -1;
+    Micros received_at = -1;
     uint64_t digest = 0;
     double tokens = 0;  // datagrams that it may still send us
     Micros tokens_at = 0;
@@ -150,25 +150,25 @@
   void HandlePingRequest(Micros now, const Message& request, Actions* out);
   void HandleEntries(Micros now, const Message& entries, Actions* out);
   void Apply(Micros now, const Update& update, Actions* out);
-  void Refute(Micros now, uint32_t above);
+  void Refute(Micros now, uint32_t incarnation);
   void Suspect(Micros now, uint16_t member, Actions* out);
   Micros SuspicionEnd(const Suspicion& suspicion) const;
   Micros SuspicionQueryTime(const Suspicion& suspicion) const;
-  void RecoverFromStall(Micros now, Micros late);
+  void RecoverFromStall(Micros now, Micros lateness);
   void NackExpiredRelays(Micros now, Actions* out);
   void QueryAboutSuspects(Micros now, Actions* out);
   void StartProbePeriod(Micros now, Actions* out);
   void FailPendingProbe(Micros now, Actions* out);
   void SendIndirectProbes(Micros now, Actions* out);
   void HandleAck(Micros now, const Message& message, Actions* out);
-  void SendDigests(Micros now, uint16_t with, uint64_t digest, Actions* out);
+  void SendDigests(Micros now, uint16_t peer, uint64_t peer_digest, Actions* out);
   void HandleDigests(Micros now, const Message& message, Actions* out);
   bool Send(Micros now, uint16_t to, Message message, Actions* out);
   bool ExceedsSenderRate(Micros now, PeerRecord* sender) const;
   double Agreement(Micros now) const;
   double RatePerS() const { return settings_.receive_limit_per_s * settings_.rate_share; }
   int NextProbeTarget();
-  std::vector<uint16_t> RandomPeers(size_t most, int but);
+  std::vector<uint16_t> RandomPeers(size_t max_count, int excluded);
   bool IsPresent(size_t member) const;
   size_t RandomBelow(size_t n);
   int GossipTransmitLimit() const;
--- a/src/membership/message.cpp
+++ b/src/membership/message.cpp
@@ -7,17 +7,17 @@
 namespace lemonchute::membership {
 namespace {
 
-constexpr uint8_t kFormat = 1;
-constexpr size_t kHead = 20, kSectionHead = 2, kUpdate = 17, kPart = 4;
-constexpr uint8_t kUpdates = 1, kPartDigests = 2;
+constexpr uint8_t kFormatVersion = 1;
+constexpr size_t kHeaderBytes = 20, kSectionHeaderBytes = 2, kUpdateBytes = 17, kPartDigestBytes = 4;
+constexpr uint8_t kUpdatesSection = 1, kPartDigestsSection = 2;
 
 class Writer {
  public:
   template <typename T>
   void Put(T value) {
-    size_t at = bytes.size();
-    bytes.resize(at + sizeof(T));
-    boost::endian::endian_store<T, sizeof(T), boost::endian::order::big>(bytes.data() + at, value);
+    size_t offset = bytes.size();
+    bytes.resize(offset + sizeof(T));
+    boost::endian::endian_store<T, sizeof(T), boost::endian::order::big>(bytes.data() + offset, value);
   }
   std::vector<uint8_t> bytes;
 };
@@ -25,39 +25,39 @@
 // The caller has checked that the bytes are there.
 class Reader {
  public:
-  explicit Reader(std::span<const uint8_t> bytes) : left(bytes) {}
+  explicit Reader(std::span<const uint8_t> bytes) : remaining(bytes) {}
   template <typename T>
-  T Take() {
-    T value = boost::endian::endian_load<T, sizeof(T), boost::endian::order::big>(left.data());
-    left = left.subspan(sizeof(T));
+  T Read() {
+    T value = boost::endian::endian_load<T, sizeof(T), boost::endian::order::big>(remaining.data());
+    remaining = remaining.subspan(sizeof(T));
     return value;
   }
-  std::span<const uint8_t> left;
+  std::span<const uint8_t> remaining;
 };
 
 DecodeError ReadUpdates(std::span<const uint8_t> section, std::vector<Update>* updates) {
-  if (section.size() % kUpdate != 0) return DecodeError::kSection;
-  for (Reader reader(section); !reader.left.empty();) {
-    Update u;
-    u.member = reader.Take<uint16_t>();
-    auto state = reader.Take<uint8_t>();
-    u.reporter = reader.Take<uint16_t>();
-    u.incarnation = reader.Take<uint32_t>();
-    u.version.program = reader.Take<uint32_t>();
-    u.version.config = reader.Take<uint32_t>();
+  if (section.size() % kUpdateBytes != 0) return DecodeError::kSection;
+  for (Reader reader(section); !reader.remaining.empty();) {
+    Update update;
+    update.member = reader.Read<uint16_t>();
+    auto state = reader.Read<uint8_t>();
+    update.reporter = reader.Read<uint16_t>();
+    update.incarnation = reader.Read<uint32_t>();
+    update.version.program = reader.Read<uint32_t>();
+    update.version.config = reader.Read<uint32_t>();
     if (state > static_cast<uint8_t>(State::kLeft)) return DecodeError::kSection;
-    if (u.member >= kMostMembers || u.reporter >= kMostMembers) return DecodeError::kNumber;
-    if (u.incarnation > kMostIncarnation) return DecodeError::kIncarnation;
-    u.state = static_cast<State>(state);
-    updates->push_back(u);
+    if (update.member >= kMaxMembers || update.reporter >= kMaxMembers) return DecodeError::kNumber;
+    if (update.incarnation > kMaxIncarnation) return DecodeError::kIncarnation;
+    update.state = static_cast<State>(state);
+    updates->push_back(update);
   }
   return DecodeError::kNone;
 }
 
 }  // namespace
 
-const char* Name(DecodeError fault) {
-  switch (fault) {
+const char* Name(DecodeError error) {
+  switch (error) {
     case DecodeError::kNone: return "";
     case DecodeError::kLength: return "length";
     case DecodeError::kFormat: return "format";
@@ -69,65 +69,69 @@
   return "";
 }
 
-size_t UpdatesThatFit(bool with_parts) {
-  size_t room = kMaxDatagramBytes - kHead - kSectionHead - (with_parts ? kSectionHead + kParts * kPart : 0);
-  return room / kUpdate;
+size_t UpdatesThatFit(bool with_part_digests) {
+  size_t room = kMaxDatagramBytes - kHeaderBytes - kSectionHeaderBytes -
+                (with_part_digests ? kSectionHeaderBytes + kViewParts * kPartDigestBytes : 0);
+  return room / kUpdateBytes;
 }
 
-std::vector<uint8_t> Write(const Message& message) {
+std::vector<uint8_t> Encode(const Message& message) {
   Writer out;
   out.bytes.reserve(kMaxDatagramBytes);
-  out.Put<uint8_t>('L'), out.Put<uint8_t>('M'), out.Put<uint8_t>(kFormat);
+  out.Put<uint8_t>('L'), out.Put<uint8_t>('M'), out.Put<uint8_t>(kFormatVersion);
   out.Put(static_cast<uint8_t>(message.kind));
   out.Put(message.from), out.Put(message.target), out.Put(message.sequence), out.Put(message.digest);
-  if (!message.parts.empty()) {
-    out.Put(kPartDigests), out.Put(static_cast<uint8_t>(kParts * kPart));
-    for (size_t i = 0; i < kParts; ++i) out.Put(message.parts[i]);
+  if (!message.part_digests.empty()) {
+    out.Put(kPartDigestsSection), out.Put(static_cast<uint8_t>(kViewParts * kPartDigestBytes));
+    for (size_t i = 0; i < kViewParts; ++i) out.Put(message.part_digests[i]);
   }
-  size_t fit = std::min(message.updates.size(), UpdatesThatFit(!message.parts.empty()));
-  if (fit > 0) {
-    out.Put(kUpdates), out.Put(static_cast<uint8_t>(fit * kUpdate));
-    for (size_t i = 0; i < fit; ++i) {
-      const Update& u = message.updates[i];
-      out.Put(u.member), out.Put(static_cast<uint8_t>(u.state)), out.Put(u.reporter), out.Put(u.incarnation);
-      out.Put(u.version.program), out.Put(u.version.config);
+  size_t count = std::min(message.updates.size(), UpdatesThatFit(!message.part_digests.empty()));
+  if (count > 0) {
+    out.Put(kUpdatesSection), out.Put(static_cast<uint8_t>(count * kUpdateBytes));
+    for (size_t i = 0; i < count; ++i) {
+      const Update& update = message.updates[i];
+      out.Put(update.member), out.Put(static_cast<uint8_t>(update.state)), out.Put(update.reporter),
+          out.Put(update.incarnation);
+      out.Put(update.version.program), out.Put(update.version.config);
     }
   }
   return std::move(out.bytes);
 }
 
-std::optional<Message> Read(std::span<const uint8_t> bytes, size_t members, DecodeError* fault) {
-  *fault = DecodeError::kNone;
-  auto no = [&](DecodeError why) {
-    *fault = why;
+std::optional<Message> Decode(std::span<const uint8_t> bytes, size_t member_count, DecodeError* error) {
+  *error = DecodeError::kNone;
+  auto fail = [&](DecodeError reason) {
+    *error = reason;
     return std::nullopt;
   };
-  if (bytes.size() < kHead || bytes.size() > kMaxDatagramBytes) return no(DecodeError::kLength);
-  if (bytes[0] != 'L' || bytes[1] != 'M' || bytes[2] != kFormat) return no(DecodeError::kFormat);
+  if (bytes.size() < kHeaderBytes || bytes.size() > kMaxDatagramBytes) return fail(DecodeError::kLength);
+  if (bytes[0] != 'L' || bytes[1] != 'M' || bytes[2] != kFormatVersion) return fail(DecodeError::kFormat);
   Reader reader(bytes.subspan(3));
-  Message m;
-  auto kind = reader.Take<uint8_t>();
-  if (kind < 1 || kind > static_cast<uint8_t>(Kind::kEntries)) return no(DecodeError::kKind);
-  m.kind = static_cast<Kind>(kind);
-  m.from = reader.Take<uint16_t>(), m.target = reader.Take<uint16_t>();
-  m.sequence = reader.Take<uint32_t>(), m.digest = reader.Take<uint64_t>();
-  if (m.from >= members || m.target >= members) return no(DecodeError::kNumber);
-  while (!reader.left.empty()) {
-    if (reader.left.size() < kSectionHead) return no(DecodeError::kSection);
-    auto section = reader.Take<uint8_t>();
-    auto length = reader.Take<uint8_t>();
-    if (length > reader.left.size()) return no(DecodeError::kSection);
-    std::span<const uint8_t> content = reader.left.first(length);
-    reader.left = reader.left.subspan(length);
-    if (section == kUpdates) {
-      DecodeError wrong = ReadUpdates(content, &m.updates);
-      if (wrong != DecodeError::kNone) return no(wrong);
-    } else if (section == kPartDigests) {
-      if (content.size() != kParts * kPart || !m.parts.empty()) return no(DecodeError::kSection);
-      for (Reader digests(content); !digests.left.empty();) m.parts.push_back(digests.Take<uint32_t>());
+  Message message;
+  auto kind = reader.Read<uint8_t>();
+  if (kind < 1 || kind > static_cast<uint8_t>(Kind::kEntries)) return fail(DecodeError::kKind);
+  message.kind = static_cast<Kind>(kind);
+  message.from = reader.Read<uint16_t>(), message.target = reader.Read<uint16_t>();
+  message.sequence = reader.Read<uint32_t>(), message.digest = reader.Read<uint64_t>();
+  if (message.from >= member_count || message.target >= member_count) return fail(DecodeError::kNumber);
+  while (!reader.remaining.empty()) {
+    if (reader.remaining.size() < kSectionHeaderBytes) return fail(DecodeError::kSection);
+    auto section = reader.Read<uint8_t>();
+    auto length = reader.Read<uint8_t>();
+    if (length > reader.remaining.size()) return fail(DecodeError::kSection);
+    std::span<const uint8_t> content = reader.remaining.first(length);
+    reader.remaining = reader.remaining.subspan(length);
+    if (section == kUpdatesSection) {
+      DecodeError section_error = ReadUpdates(content, &message.updates);
+      if (section_error != DecodeError::kNone) return fail(section_error);
+    } else if (section == kPartDigestsSection) {
+      if (content.size() != kViewParts * kPartDigestBytes || !message.part_digests.empty())
+        return fail(DecodeError::kSection);
+      for (Reader digests(content); !digests.remaining.empty();)
+        message.part_digests.push_back(digests.Read<uint32_t>());
     }
   }
-  return m;
+  return message;
 }
 
 }  // namespace lemonchute::membership
--- a/src/membership/message.h
+++ b/src/membership/message.h
@@ -14,10 +14,10 @@
 namespace lemonchute::membership {
 
 inline constexpr size_t kMaxDatagramBytes = 256;  // of a datagram (PROTOCOL, Between gateways)
-inline constexpr size_t kMostMembers = 8192;      // numbers are below this
-inline constexpr size_t kParts = 16;              // of a view, each with a digest of its own
+inline constexpr size_t kMaxMembers = 8192;       // numbers are below this
+inline constexpr size_t kViewParts = 16;          // of a view, each with a digest of its own
 // An incarnation grows by one for each refutation: none comes near this in the life of a fleet.
-inline constexpr uint32_t kMostIncarnation = 1u << 30;
+inline constexpr uint32_t kMaxIncarnation = 1u << 30;
 
 // Of two words with the same incarnation the later in this order counts.
 enum class State : uint8_t { kAlive, kSuspect, kDead, kLeft };
@@ -41,10 +41,10 @@
 enum class Kind : uint8_t {
   kPing = 1,  // asks for an ack with the same sequence
   kAck = 2,
-  kAskPing = 3,  // asks the receiver to ping `target` in its place
-  kNack = 4,     // the asked one has had no ack so far
-  kDigests = 5,  // the digests of the sender's parts, as its view differs from the receiver's
-  kEntries = 6,  // words of a part that differs
+  kPingRequest = 3,  // asks the receiver to ping `target` in its place
+  kNack = 4,         // the asked one has had no ack so far
+  kDigests = 5,      // the digests of the sender's parts, as its view differs from the receiver's
+  kEntries = 6,      // words of a part that differs
 };
 
 struct Message {
@@ -54,19 +54,19 @@
   uint32_t sequence = 0;  // the asking side's
   uint64_t digest = 0;    // of the sender's view
   std::vector<Update> updates;
-  std::vector<uint32_t> parts;  // none, or one for each part
+  std::vector<uint32_t> part_digests;  // none, or one for each part
 };
 
 // How many updates fit beside everything else in a message of that kind.
-size_t UpdatesThatFit(bool with_parts);
+size_t UpdatesThatFit(bool with_part_digests);
 // At most kMostBytes; updates past what fits are left out.
-std::vector<uint8_t> Write(const Message& message);
+std::vector<uint8_t> Encode(const Message& message);
 
 enum class DecodeError { kNone, kLength, kFormat, kKind, kNumber, kIncarnation, kSection };
-const char* Name(DecodeError fault);
+const char* Name(DecodeError error);
 // None where the bytes are no such message; `fault` says why. Nothing in it is trusted but its form: sender
 // and target are below `members`, what words speak of below kMostMembers.
-std::optional<Message> Read(std::span<const uint8_t> bytes, size_t members, DecodeError* fault);
+std::optional<Message> Decode(std::span<const uint8_t> bytes, size_t member_count, DecodeError* error);
 
 }  // namespace lemonchute::membership
 
--- a/src/membership/probing.cpp
+++ b/src/membership/probing.cpp
@@ -17,24 +17,28 @@
 constexpr int kMaxSuspicionQueries = 3;
 constexpr size_t kDeadProbePeriods = 4;  // a dead member is pinged in one of so many periods
 
-double FleetScale(size_t members) { return std::max(1.0, std::log10(static_cast<double>(members))); }
+double LogFleetSize(size_t members) { return std::max(1.0, std::log10(static_cast<double>(members))); }
 
 }  // namespace
 
-Micros Membership::LeastSuspicion() const {
-  size_t there = view_.Count(State::kAlive) + view_.Count(State::kSuspect);
-  return static_cast<Micros>(kSuspicionAlpha * FleetScale(there) * static_cast<double>(period_));
+Micros Membership::MinSuspicionTimeout() const {
+  size_t present = view_.Count(State::kAlive) + view_.Count(State::kSuspect);
+  return static_cast<Micros>(kSuspicionAlpha * LogFleetSize(present) * static_cast<double>(period_));
 }
 
-Micros Membership::MostSuspicion() const { return static_cast<Micros>(kSuspicionBeta) * LeastSuspicion(); }
+Micros Membership::MaxSuspicionTimeout() const {
+  return static_cast<Micros>(kSuspicionBeta) * MinSuspicionTimeout();
+}
 
 Micros Membership::SuspicionEnd(const Suspicion& suspicion) const {
-  auto least = static_cast<double>(LeastSuspicion()), most = static_cast<double>(MostSuspicion());
+  auto min_timeout = static_cast<double>(MinSuspicionTimeout()),
+       max_timeout = static_cast<double>(MaxSuspicionTimeout());
   size_t needed = std::min(kMaxConfirmations, settings_.member_count < 3 ? 0 : settings_.member_count - 2);
-  if (needed == 0) return suspicion.since + static_cast<Micros>(least);
-  auto more = static_cast<double>(suspicion.reporters.empty() ? 0 : suspicion.reporters.size() - 1);
-  double wait = most - (most - least) * std::log(more + 1) / std::log(static_cast<double>(needed) + 1);
-  return suspicion.since + static_cast<Micros>(std::max(least, wait));
+  if (needed == 0) return suspicion.since + static_cast<Micros>(min_timeout);
+  auto confirmations = static_cast<double>(suspicion.reporters.empty() ? 0 : suspicion.reporters.size() - 1);
+  double wait = max_timeout - (max_timeout - min_timeout) * std::log(confirmations + 1) /
+                                  std::log(static_cast<double>(needed) + 1);
+  return suspicion.since + static_cast<Micros>(std::max(min_timeout, wait));
 }
 
 Micros Membership::SuspicionQueryTime(const Suspicion& suspicion) const {
@@ -65,7 +69,7 @@
   }
   QueryAboutSuspects(now, out);
   for (uint16_t member : expired) {
-    Update dead = view_.WordOn(member);
+    Update dead = view_.UpdateFor(member);
     dead.state = State::kDead;
     dead.reporter = settings_.self;
     Apply(now, dead, out);
@@ -77,12 +81,12 @@
 }
 
 // This process was stopped or starved. Answers that it waits for may be unread, so they accuse nobody.
-void Membership::RecoverFromStall(Micros now, Micros late) {
+void Membership::RecoverFromStall(Micros now, Micros lateness) {
   ++counts_.stalls;
   health_ = std::min(kMaxHealth, health_ + 1);
   probe_.in_flight = false;
   relays_.clear();
-  for (auto& [member, suspicion] : suspicions_) suspicion.since += late;
+  for (auto& [member, suspicion] : suspicions_) suspicion.since += lateness;
   next_period_ = now;
 }
 
@@ -96,7 +100,7 @@
     relays_.erase(relays_.begin() + static_cast<std::ptrdiff_t>(i));
     Message nack;
     nack.kind = Kind::kNack;
-    nack.sequence = relay.asker_sequence;
+    nack.sequence = relay.requester_sequence;
     nack.target = relay.target;
     Send(now, relay.requester, std::move(nack), out);
   }
@@ -108,7 +112,7 @@
   for (auto& [member, suspicion] : suspicions_) {
     if (suspicion.queries == kMaxSuspicionQueries || now < SuspicionQueryTime(suspicion)) continue;
     ++suspicion.queries;
-    ping.updates.push_back(view_.WordOn(member));
+    ping.updates.push_back(view_.UpdateFor(member));
   }
   if (ping.updates.empty()) return;
   const std::vector<uint16_t> peers = RandomPeers(1, -1);
@@ -120,7 +124,7 @@
 // Randomized round robin: each round probes every member once, in a new order.
 // @return -1 where nobody else is present.
 int Membership::NextProbeTarget() {
-  for (size_t looked = 0; looked <= settings_.member_count; ++looked) {
+  for (size_t checked = 0; checked <= settings_.member_count; ++checked) {
     if (next_target_ >= probe_order_.size()) {
       probe_order_.clear();
       for (size_t m = 0; m < settings_.member_count; ++m) {
@@ -140,9 +144,9 @@
 void Membership::StartProbePeriod(Micros now, Actions* out) {
   next_period_ = now + period_ * (1 + health_);
   if (RandomBelow(kDeadProbePeriods) == 0 && view_.Count(State::kDead) > 0) {
-    size_t at = RandomBelow(view_.Count(State::kDead));
+    size_t dead_index = RandomBelow(view_.Count(State::kDead));
     for (size_t m = 0; m < settings_.member_count; ++m) {
-      if (view_.At(m).state != State::kDead || at-- > 0) continue;
+      if (view_.At(m).state != State::kDead || dead_index-- > 0) continue;
       Message ping;
       ping.sequence = ++sequence_;
       Send(now, static_cast<uint16_t>(m), std::move(ping), out);
@@ -161,26 +165,27 @@
   counts_.probes += probe_.in_flight ? 1 : 0;
 }
 
-std::vector<uint16_t> Membership::RandomPeers(size_t most, int but) {
+std::vector<uint16_t> Membership::RandomPeers(size_t max_count, int excluded) {
   std::vector<uint16_t> all;
   for (size_t m = 0; m < settings_.member_count; ++m) {
-    bool fit = m != settings_.self && static_cast<int>(m) != but && view_.At(m).state == State::kAlive;
-    if (fit) all.push_back(static_cast<uint16_t>(m));
+    bool eligible =
+        m != settings_.self && static_cast<int>(m) != excluded && view_.At(m).state == State::kAlive;
+    if (eligible) all.push_back(static_cast<uint16_t>(m));
   }
-  for (size_t i = 0; i < std::min(most, all.size()); ++i)
+  for (size_t i = 0; i < std::min(max_count, all.size()); ++i)
     std::swap(all[i], all[i + RandomBelow(all.size() - i)]);
-  all.resize(std::min(most, all.size()));
+  all.resize(std::min(max_count, all.size()));
   return all;
 }
 
 void Membership::SendIndirectProbes(Micros now, Actions* out) {
   probe_.indirect_sent = true;
   for (uint16_t helper : RandomPeers(kIndirectProbes, probe_.target)) {
-    Message ask;
-    ask.kind = Kind::kAskPing;
-    ask.target = probe_.target;
-    ask.sequence = probe_.sequence;
-    if (!Send(now, helper, std::move(ask), out)) continue;
+    Message request;
+    request.kind = Kind::kPingRequest;
+    request.target = probe_.target;
+    request.sequence = probe_.sequence;
+    if (!Send(now, helper, std::move(request), out)) continue;
     ++counts_.indirect_probes;
     ++probe_.nacks_outstanding;
   }
@@ -196,24 +201,24 @@
 }
 
 void Membership::Suspect(Micros now, uint16_t member, Actions* out) {
-  Update word = view_.WordOn(member);
-  if (word.state > State::kSuspect) return;
-  word.state = State::kSuspect;
-  word.reporter = settings_.self;
-  Apply(now, word, out);
+  Update update = view_.UpdateFor(member);
+  if (update.state > State::kSuspect) return;
+  update.state = State::kSuspect;
+  update.reporter = settings_.self;
+  Apply(now, update, out);
 }
 
-void Membership::HandleAck(Micros now, const Message& m, Actions* out) {
-  if (probe_.in_flight && m.sequence == probe_.sequence && m.target == probe_.target) {
+void Membership::HandleAck(Micros now, const Message& message, Actions* out) {
+  if (probe_.in_flight && message.sequence == probe_.sequence && message.target == probe_.target) {
     probe_.in_flight = false;
     health_ = std::max(0, health_ - 1);
     return;
   }
   for (size_t i = 0; i < relays_.size(); ++i) {
-    if (relays_[i].sequence != m.sequence || relays_[i].target != m.from) continue;
+    if (relays_[i].sequence != message.sequence || relays_[i].target != message.from) continue;
     Message ack;
     ack.kind = Kind::kAck;
-    ack.sequence = relays_[i].asker_sequence;
+    ack.sequence = relays_[i].requester_sequence;
     ack.target = relays_[i].target;
     uint16_t requester = relays_[i].requester;
     relays_.erase(relays_.begin() + static_cast<std::ptrdiff_t>(i));
--- a/src/membership/status.cpp
+++ b/src/membership/status.cpp
@@ -22,39 +22,42 @@
 }
 
 FleetStatus Membership::Status(Micros now) const {
-  Micros heard = started_;
+  Micros last_received = started_;
   for (size_t m = 0; m < peer_records_.size(); ++m) {
-    if (m != settings_.self) heard = std::max(heard, peer_records_[m].at);
+    if (m != settings_.self) last_received = std::max(last_received, peer_records_[m].received_at);
   }
-  return {Judge(now), now - heard, Agreement(now), view_.Count(State::kAlive) + view_.Count(State::kSuspect)};
+  return {ComputeVerdict(now), now - last_received, Agreement(now),
+          view_.Count(State::kAlive) + view_.Count(State::kSuspect)};
 }
 
 double Membership::Agreement(Micros now) const {
-  size_t lately = 0, same = 0;
+  size_t recent = 0, matching = 0;
   for (size_t m = 0; m < peer_records_.size(); ++m) {
-    const PeerRecord& last = peer_records_[m];
-    if (m == settings_.self || last.at < 0 || last.at + kRecentPeriods * period_ < now) continue;
-    ++lately;
-    same += last.digest == view_.digest() ? 1 : 0;
+    const PeerRecord& record = peer_records_[m];
+    if (m == settings_.self || record.received_at < 0 || record.received_at + kRecentPeriods * period_ < now)
+      continue;
+    ++recent;
+    matching += record.digest == view_.digest() ? 1 : 0;
   }
-  return lately == 0 ? 0 : static_cast<double>(same) / static_cast<double>(lately);
+  return recent == 0 ? 0 : static_cast<double>(matching) / static_cast<double>(recent);
 }
 
-Verdict Membership::Judge(Micros now) const {
-  size_t heard_of = 1, expected = 0;
-  bool lately = settings_.member_count == 1;
+Verdict Membership::ComputeVerdict(Micros now) const {
+  size_t known = 1, expected = 0;
+  bool heard_recently = settings_.member_count == 1;
   for (size_t m = 0; m < settings_.member_count; ++m) {
-    const Entry& e = view_.At(m);
-    expected += e.state != State::kLeft ? 1 : 0;
+    const Entry& entry = view_.At(m);
+    expected += entry.state != State::kLeft ? 1 : 0;
     if (m == settings_.self) continue;
-    heard_of += e.state <= State::kSuspect && e.incarnation > 0 ? 1 : 0;
-    lately |= peer_records_[m].at >= 0 && peer_records_[m].at + kRecentPeriods * period_ >= now;
+    known += entry.state <= State::kSuspect && entry.incarnation > 0 ? 1 : 0;
+    heard_recently |=
+        peer_records_[m].received_at >= 0 && peer_records_[m].received_at + kRecentPeriods * period_ >= now;
   }
   // Another process uses this member's number, so the others listen to that one.
   if (impersonated_at_ >= 0 && impersonated_at_ + kRecentPeriods * period_ >= now) return Verdict::kCutOff;
   if (expected <= 1) return Verdict::kConverged;
-  bool few = heard_of * 2 <= expected || !lately;
-  if (few) return now - started_ < kRecentPeriods * period_ ? Verdict::kUnknown : Verdict::kCutOff;
+  bool minority = known * 2 <= expected || !heard_recently;
+  if (minority) return now - started_ < kRecentPeriods * period_ ? Verdict::kUnknown : Verdict::kCutOff;
   return Agreement(now) >= kConvergedShare ? Verdict::kConverged : Verdict::kDiverged;
 }
 
--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -14,80 +14,81 @@
   return x ^ (x >> 31);
 }
 
-uint64_t HashOf(size_t member, const Entry& e) {
-  State state = e.state == State::kSuspect ? State::kAlive : e.state;
-  uint64_t who = Mix((static_cast<uint64_t>(member) << 8) ^ static_cast<uint64_t>(state));
-  return Mix(who ^ (static_cast<uint64_t>(e.version.program) << 32) ^ e.version.config);
+uint64_t HashEntry(size_t member, const Entry& entry) {
+  State state = entry.state == State::kSuspect ? State::kAlive : entry.state;
+  uint64_t member_hash = Mix((static_cast<uint64_t>(member) << 8) ^ static_cast<uint64_t>(state));
+  return Mix(member_hash ^ (static_cast<uint64_t>(entry.version.program) << 32) ^ entry.version.config);
 }
 
 }  // namespace
 
-View::View(size_t members, uint16_t self, Micros now) : self_(self) { Resize(members, now); }
+View::View(size_t member_count, uint16_t self, Micros now) : self_(self) { Resize(member_count, now); }
 
-void View::Resize(size_t members, Micros now) {
-  size_t had = entries_.size();
-  for (size_t m = members; m < had; ++m) Count(m, -1);
-  std::erase_if(rumours_, [&](const Rumour& r) { return r.member >= members; });
-  entries_.resize(members);
-  for (size_t m = had; m < members; ++m) {
+void View::Resize(size_t member_count, Micros now) {
+  size_t old_count = entries_.size();
+  for (size_t m = member_count; m < old_count; ++m) AddToTotals(m, -1);
+  std::erase_if(gossip_queue_, [&](const GossipItem& r) { return r.member >= member_count; });
+  entries_.resize(member_count);
+  for (size_t m = old_count; m < member_count; ++m) {
     entries_[m].reporter = self_, entries_[m].since = now;
-    Count(m, 1);
+    AddToTotals(m, 1);
   }
 }
 
-void View::Count(size_t member, int sign) {
-  const Entry& e = entries_[member];
-  uint64_t hash = HashOf(member, e);
-  counts_[static_cast<size_t>(e.state)] += static_cast<size_t>(sign);
+void View::AddToTotals(size_t member, int sign) {
+  const Entry& entry = entries_[member];
+  uint64_t hash = HashEntry(member, entry);
+  counts_[static_cast<size_t>(entry.state)] += static_cast<size_t>(sign);
   digest_ += sign > 0 ? hash : 0 - hash;
-  uint32_t& part = parts_[PartOf(member)];
+  uint32_t& part = part_digests_[PartOf(member)];
   auto low = static_cast<uint32_t>(hash);
   part += sign > 0 ? low : 0 - low;
 }
 
-bool View::Take(const Update& u, Micros now) {
-  Entry& e = entries_[u.member];
-  bool newer = u.incarnation != e.incarnation ? u.incarnation > e.incarnation
-               : u.state != e.state           ? u.state > e.state
-                                              : u.version > e.version;
+bool View::Merge(const Update& update, Micros now) {
+  Entry& entry = entries_[update.member];
+  bool newer = update.incarnation != entry.incarnation ? update.incarnation > entry.incarnation
+               : update.state != entry.state           ? update.state > entry.state
+                                                       : update.version > entry.version;
   if (!newer) return false;
-  Count(u.member, -1);
-  if (u.state != e.state) e.since = now;
-  e.state = u.state, e.incarnation = u.incarnation, e.reporter = u.reporter;
-  e.version = u.version;
-  Count(u.member, 1);
-  Spread(u.member);
+  AddToTotals(update.member, -1);
+  if (update.state != entry.state) entry.since = now;
+  entry.state = update.state, entry.incarnation = update.incarnation, entry.reporter = update.reporter;
+  entry.version = update.version;
+  AddToTotals(update.member, 1);
+  QueueGossip(update.member);
   return true;
 }
 
-Update View::WordOn(size_t member) const {
-  const Entry& e = entries_[member];
-  return {static_cast<uint16_t>(member), e.state, e.reporter, e.incarnation, e.version};
+Update View::UpdateFor(size_t member) const {
+  const Entry& entry = entries_[member];
+  return {static_cast<uint16_t>(member), entry.state, entry.reporter, entry.incarnation, entry.version};
 }
 
 void View::Confirm(size_t member, uint16_t reporter) {
   entries_[member].reporter = reporter;
-  Spread(member);
+  QueueGossip(member);
 }
 
-void View::Spread(size_t member) {
-  std::erase_if(rumours_, [&](const Rumour& r) { return r.member == member; });
-  rumours_.push_back({static_cast<uint16_t>(member), 0});
+void View::QueueGossip(size_t member) {
+  std::erase_if(gossip_queue_, [&](const GossipItem& r) { return r.member == member; });
+  gossip_queue_.push_back({static_cast<uint16_t>(member), 0});
 }
 
-std::vector<Update> View::ToSpread(size_t most, int times) {
-  size_t n = std::min(most, rumours_.size());
-  std::partial_sort(rumours_.begin(), rumours_.begin() + static_cast<std::ptrdiff_t>(n), rumours_.end(),
-                    [](const Rumour& a, const Rumour& b) {
-                      return a.told != b.told ? a.told < b.told : a.member < b.member;
+std::vector<Update> View::TakeGossip(size_t max_updates, int max_transmissions) {
+  size_t count = std::min(max_updates, gossip_queue_.size());
+  std::partial_sort(gossip_queue_.begin(), gossip_queue_.begin() + static_cast<std::ptrdiff_t>(count),
+                    gossip_queue_.end(), [](const GossipItem& a, const GossipItem& b) {
+                      return a.transmissions != b.transmissions ? a.transmissions < b.transmissions
+                                                                : a.member < b.member;
                     });
-  std::vector<Update> words;
-  for (size_t i = 0; i < n; ++i) {
-    words.push_back(WordOn(rumours_[i].member));
-    ++rumours_[i].told;
+  std::vector<Update> updates;
+  for (size_t i = 0; i < count; ++i) {
+    updates.push_back(UpdateFor(gossip_queue_[i].member));
+    ++gossip_queue_[i].transmissions;
   }
-  std::erase_if(rumours_, [&](const Rumour& r) { return r.told >= times; });
-  return words;
+  std::erase_if(gossip_queue_, [&](const GossipItem& r) { return r.transmissions >= max_transmissions; });
+  return updates;
 }
 
 }  // namespace lemonchute::membership
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -12,23 +12,23 @@
   Message m;
   m.kind = Kind::kDigests, m.from = 3, m.target = 7, m.sequence = 0x01020304, m.digest = 0x1122334455667788;
   m.updates = {{5, State::kSuspect, 2, 9, {11, 12}}, {6, State::kLeft, 6, 1, {13, 14}}};
-  for (uint32_t i = 0; i < kParts; ++i) m.parts.push_back(i * 7);
+  for (uint32_t i = 0; i < kViewParts; ++i) m.part_digests.push_back(i * 7);
   return m;
 }
 
 TEST(MembershipMessage, ReadsBackWhatWasWritten) {
   DecodeError fault = DecodeError::kNone;
-  auto read = Read(Write(Full()), 10, &fault);
+  auto read = Decode(Encode(Full()), 10, &fault);
   ASSERT_TRUE(read) << Name(fault);
   EXPECT_EQ(read->kind, Kind::kDigests);
   EXPECT_EQ(read->sequence, 0x01020304u);
   EXPECT_EQ(read->digest, 0x1122334455667788u);
   EXPECT_EQ(read->updates, Full().updates);
-  EXPECT_EQ(read->parts, Full().parts);
+  EXPECT_EQ(read->part_digests, Full().part_digests);
   Message crowded = Full();
   crowded.updates.assign(99, crowded.updates[0]);
-  EXPECT_LE(Write(crowded).size(), kMaxDatagramBytes);
-  EXPECT_EQ(Read(Write(crowded), 10, &fault)->updates.size(), UpdatesThatFit(true));
+  EXPECT_LE(Encode(crowded).size(), kMaxDatagramBytes);
+  EXPECT_EQ(Decode(Encode(crowded), 10, &fault)->updates.size(), UpdatesThatFit(true));
 }
 
 // The form by hand, as a second reader would have it from docs/MEMBERSHIP.md: any change of it is seen here.
@@ -43,22 +43,22 @@
       1,    17,                                           // a section of words, its bytes
       0,    5,    1,    0,    2,    0,    0,    0,    9,  // member, state, by, incarnation
       0xa1, 0xa2, 0xa3, 0xa4, 0xb1, 0xb2, 0xb3, 0xb4};    // program, configuration
-  EXPECT_EQ(Write(ping), bytes);
+  EXPECT_EQ(Encode(ping), bytes);
   DecodeError fault = DecodeError::kNone;
-  EXPECT_EQ(Read(bytes, 8, &fault)->updates, ping.updates);
+  EXPECT_EQ(Decode(bytes, 8, &fault)->updates, ping.updates);
 }
 
 TEST(MembershipMessage, WhatANewerVersionAddsIsSkipped) {
-  std::vector<uint8_t> bytes = Write(Full());
+  std::vector<uint8_t> bytes = Encode(Full());
   for (uint8_t byte : {uint8_t{200}, uint8_t{3}, uint8_t{1}, uint8_t{2}, uint8_t{3}}) bytes.push_back(byte);
   DecodeError fault = DecodeError::kNone;
-  auto read = Read(bytes, 10, &fault);
+  auto read = Decode(bytes, 10, &fault);
   ASSERT_TRUE(read);
   EXPECT_EQ(read->updates, Full().updates);
 }
 
 TEST(MembershipMessage, EachFaultIsNamedAndNoNoiseHarms) {
-  const std::vector<uint8_t> sound = Write(Full());
+  const std::vector<uint8_t> sound = Encode(Full());
   auto bent = [&](size_t at, uint8_t to) {
     std::vector<uint8_t> bytes = sound;
     bytes[at] = to;
@@ -75,12 +75,12 @@
         Case{bent(88, 200), DecodeError::kNumber}, Case{bent(90, 7), DecodeError::kSection},
         Case{bent(91, 200), DecodeError::kNumber}, Case{bent(93, 0x7f), DecodeError::kIncarnation}}) {
     DecodeError fault = DecodeError::kNone;
-    EXPECT_FALSE(Read(c.bytes, 10, &fault));
+    EXPECT_FALSE(Decode(c.bytes, 10, &fault));
     EXPECT_EQ(Name(fault), std::string(Name(c.fault)));
   }
   std::mt19937_64 random(1);
   DecodeError fault = DecodeError::kNone;
-  for (size_t length = 0; length <= sound.size(); ++length) Read({sound.data(), length}, 10, &fault);
+  for (size_t length = 0; length <= sound.size(); ++length) Decode({sound.data(), length}, 10, &fault);
   for (int i = 0; i < 100000; ++i) {
     std::vector<uint8_t> bytes = sound;
     bytes.resize(random() % (kMaxDatagramBytes + 8));
@@ -89,7 +89,7 @@
     if (i % 4 == 0) {
       for (uint8_t& byte : bytes) byte = static_cast<uint8_t>(random());
     }
-    Read(bytes, 10, &fault);
+    Decode(bytes, 10, &fault);
   }
 }
 
@@ -104,7 +104,7 @@
   Actions out;
   Message third;
   third.from = 3;
-  std::vector<uint8_t> bytes = Write(third);
+  std::vector<uint8_t> bytes = Encode(third);
   core.OnDatagram(net.now, -1, bytes, &out);
   core.OnDatagram(net.now, 99, bytes, &out);
   core.OnDatagram(net.now, 2, bytes, &out);  // it says that it is 3
@@ -116,7 +116,7 @@
   Message stale;
   stale.from = 1, stale.updates = {{2, State::kDead, 1, 0, {}}};
   size_t sent = out.send.size();
-  for (int i = 0; i < 10000; ++i) core.OnDatagram(net.now, 1, Write(stale), &out);
+  for (int i = 0; i < 10000; ++i) core.OnDatagram(net.now, 1, Encode(stale), &out);
   EXPECT_EQ(core.view().digest(), digest);
   // No answer amplifies: what goes out is bounded by the pace, whatever comes in.
   EXPECT_LE(out.send.size() - sent, 15u);
@@ -141,9 +141,9 @@
   for (uint64_t seed = 1; seed <= 5; ++seed) {
     Fleet fleet(kMembers, seed);
     EXPECT_TRUE(fleet.net.OneDigest()) << seed;
-    EXPECT_EQ(fleet.net.members[5].core->Judge(fleet.net.now), Verdict::kConverged);
+    EXPECT_EQ(fleet.net.members[5].core->ComputeVerdict(fleet.net.now), Verdict::kConverged);
     fleet.net.Kill(7);
-    Micros most = fleet.net.members[5].core->MostSuspicion();
+    Micros most = fleet.net.members[5].core->MaxSuspicionTimeout();
     EXPECT_GE(fleet.net.RunUntil(fleet.net.now + most + 5 * kSecond,
                                  [&] { return fleet.net.All(7, State::kDead); }),
               0)
@@ -229,9 +229,9 @@
   Membership& core = *net.members[0].core;
   Message ping;
   ping.from = 1, ping.digest = core.view().digest();
-  std::vector<uint8_t> flood = Write(ping);
+  std::vector<uint8_t> flood = Encode(ping);
   ping.from = 2;
-  std::vector<uint8_t> honest = Write(ping);
+  std::vector<uint8_t> honest = Encode(ping);
   size_t answers = 0;
   for (int i = 0; i < 1000; ++i) {
     net.now += 10'000;
@@ -245,7 +245,7 @@
   EXPECT_EQ(core.Status(net.now).verdict, Verdict::kConverged);
   ping.from = 0;
   Actions out;
-  core.OnDatagram(net.now, 0, Write(ping), &out);
+  core.OnDatagram(net.now, 0, Encode(ping), &out);
   EXPECT_TRUE(out.send.empty());
   EXPECT_EQ(core.counts().impersonations, 1u);
   EXPECT_EQ(core.Status(net.now).verdict, Verdict::kCutOff);
@@ -295,11 +295,12 @@
   fleet.net.passes = [](int from, int to) { return (from < 8) == (to < 8); };
   EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kBound,
                                [&] {
-                                 return fleet.net.members[2].core->Judge(fleet.net.now) == Verdict::kCutOff &&
+                                 return fleet.net.members[2].core->ComputeVerdict(fleet.net.now) ==
+                                            Verdict::kCutOff &&
                                         fleet.net.members[20].core->view().Count(State::kDead) == 8;
                                }),
             0);
-  EXPECT_NE(fleet.net.members[20].core->Judge(fleet.net.now), Verdict::kCutOff);
+  EXPECT_NE(fleet.net.members[20].core->ComputeVerdict(fleet.net.now), Verdict::kCutOff);
   fleet.net.passes = [](int from, int) { return from >= 8; };
   fleet.net.Run(fleet.net.now + 10 * kSecond);
   fleet.net.passes = [](int, int) { return true; };
@@ -310,7 +311,7 @@
                                }),
             0);
   fleet.net.Run(fleet.net.now + 10 * kSecond);  // until what was heard before has been heard anew
-  EXPECT_EQ(fleet.net.members[2].core->Judge(fleet.net.now), Verdict::kConverged);
+  EXPECT_EQ(fleet.net.members[2].core->ComputeVerdict(fleet.net.now), Verdict::kConverged);
 }
 
 // From any history of kills, cuts, stops and restarts: once it is quiet, one digest, and nobody over the
