--- a/tests/membership_net.h
+++ b/tests/membership_net.h
@@ -11,118 +11,119 @@
 
 namespace lemonchute::membership {
 
-class Net : public VirtualTime {
+class SimulatedNetwork : public VirtualTime {
  public:
   struct Member {
     std::unique_ptr<Membership> core;
-    bool stopped = false;
-    uint64_t life = 0, planned = 0;                             // planned: the newest of its ticks
-    std::vector<std::pair<int, std::vector<uint8_t>>> waiting;  // what came while it was stopped
-    std::vector<Micros> in;                                     // arrivals, of the last second
-    size_t peak_in = 0;
-    uint64_t all_in = 0;
+    bool paused = false;
+    uint64_t start_count = 0, scheduled_tick = 0;               // planned: the newest of its ticks
+    std::vector<std::pair<int, std::vector<uint8_t>>> pending;  // what came while it was stopped
+    std::vector<Micros> recent_arrivals;                        // arrivals, of the last second
+    size_t peak_arrivals_per_s = 0;
+    uint64_t total_arrivals = 0;
   };
   // Called for each change that a member sees.
-  std::function<void(int at, const Change& change)> on_change = [](int, const Change&) {};
+  std::function<void(int observer, const Change& change)> on_change = [](int, const Change&) {};
   // Whether a datagram passes at all.
   std::function<bool(int from, int to)> passes = [](int, int) { return true; };
-  double loss = 0.08, doubled = 0.02, late = 0.02;
-  Micros least_delay = 2'000, most_delay = 20'000;
+  double loss_share = 0.08, duplicate_share = 0.02, late_share = 0.02;
+  Micros min_delay = 2'000, max_delay = 20'000;
 
-  Net(size_t count, uint64_t seed) : random_(seed), members(count) {}
+  SimulatedNetwork(size_t count, uint64_t seed) : random_(seed), members(count) {}
 
   void Start(int m, SoftwareVersion version = {1, 1}) {
-    Member& one = members[static_cast<size_t>(m)];
+    Member& member = members[static_cast<size_t>(m)];
     Settings settings;
     settings.self = static_cast<uint16_t>(m), settings.member_count = members.size(),
     settings.seed = random_();
     settings.version = version;
-    one.core = std::make_unique<Membership>(settings, now);
-    one.stopped = false;
-    ++one.life;
-    Plan(m);
+    member.core = std::make_unique<Membership>(settings, now);
+    member.paused = false;
+    ++member.start_count;
+    ScheduleTick(m);
   }
   void StartAll() {
     for (size_t m = 0; m < members.size(); ++m) Start(static_cast<int>(m));
   }
   void Kill(int m) {
     members[static_cast<size_t>(m)].core.reset();
-    members[static_cast<size_t>(m)].waiting.clear();
+    members[static_cast<size_t>(m)].pending.clear();
   }
-  void Stop(int m) { members[static_cast<size_t>(m)].stopped = true; }
-  void GoOn(int m) {
-    Member& one = members[static_cast<size_t>(m)];
-    one.stopped = false;
-    if (one.core == nullptr) return;
+  void Pause(int m) { members[static_cast<size_t>(m)].paused = true; }
+  void Resume(int m) {
+    Member& member = members[static_cast<size_t>(m)];
+    member.paused = false;
+    if (member.core == nullptr) return;
     // The timer is seen first, as after a stop both are due.
-    Do(m, [&](Actions* out) { one.core->Tick(now, out); });
-    auto waiting = std::move(one.waiting);
-    one.waiting.clear();
-    for (const auto& datagram : waiting) {
-      Do(m, [&](Actions* out) { one.core->OnDatagram(now, datagram.first, datagram.second, out); });
+    Execute(m, [&](Actions* out) { member.core->Tick(now, out); });
+    auto pending = std::move(member.pending);
+    member.pending.clear();
+    for (const auto& datagram : pending) {
+      Execute(m, [&](Actions* out) { member.core->OnDatagram(now, datagram.first, datagram.second, out); });
     }
   }
-  void Do(int m, const std::function<void(Actions*)>& what) {
+  void Execute(int m, const std::function<void(Actions*)>& action) {
     Actions out;
-    what(&out);
+    action(&out);
     for (const Change& change : out.changes) on_change(m, change);
-    for (const Datagram& datagram : out.send) Carry(m, datagram.to, datagram.bytes);
-    Plan(m);
+    for (const Datagram& datagram : out.send) Transmit(m, datagram.to, datagram.bytes);
+    ScheduleTick(m);
   }
-  bool OneDigest() const {
+  bool DigestsAgree() const {
     const Membership* first = nullptr;
-    for (const Member& m : members) {
-      if (m.core == nullptr || m.stopped) continue;
-      if (first == nullptr) first = m.core.get();
-      if (m.core->view().digest() != first->view().digest()) return false;
+    for (const Member& member : members) {
+      if (member.core == nullptr || member.paused) continue;
+      if (first == nullptr) first = member.core.get();
+      if (member.core->view().digest() != first->view().digest()) return false;
     }
     return true;
   }
   // All that run believe that of `member`.
-  bool All(int member, State state) const {
+  bool AllSee(int member, State state) const {
     for (size_t m = 0; m < members.size(); ++m) {
-      if (static_cast<int>(m) == member || members[m].core == nullptr || members[m].stopped) continue;
+      if (static_cast<int>(m) == member || members[m].core == nullptr || members[m].paused) continue;
       if (members[m].core->view().At(static_cast<size_t>(member)).state != state) return false;
     }
     return true;
   }
-  size_t longest() const { return longest_; }
+  size_t longest_datagram() const { return longest_datagram_; }
 
  private:
   double Uniform() { return static_cast<double>(random_() >> 11) * 0x1p-53; }
-  void Plan(int m) {
-    Member& one = members[static_cast<size_t>(m)];
-    if (one.core == nullptr) return;
-    uint64_t plan = ++one.planned, life = one.life;
-    Schedule(one.core->NextTickAt(), [this, m, plan, life] {
-      Member& later = members[static_cast<size_t>(m)];
-      if (later.core == nullptr || later.life != life || later.planned != plan || later.stopped) return;
-      Do(m, [&](Actions* out) { later.core->Tick(now, out); });
+  void ScheduleTick(int m) {
+    Member& member = members[static_cast<size_t>(m)];
+    if (member.core == nullptr) return;
+    uint64_t tick = ++member.scheduled_tick, start_count = member.start_count;
+    Schedule(member.core->NextTickAt(), [this, m, tick, start_count] {
+      Member& target = members[static_cast<size_t>(m)];
+      if (target.core == nullptr || target.start_count != start_count || target.scheduled_tick != tick ||
+          target.paused)
+        return;
+      Execute(m, [&](Actions* out) { target.core->Tick(now, out); });
     });
   }
-  void Carry(int from, int to, const std::vector<uint8_t>& bytes) {
-    longest_ = std::max(longest_, bytes.size());
-    if (!passes(from, to) || Uniform() < loss) return;
-    for (int copies = Uniform() < doubled ? 2 : 1; copies > 0; --copies) {
-      auto delay =
-          least_delay + static_cast<Micros>(Uniform() * static_cast<double>(most_delay - least_delay));
-      if (Uniform() < late) delay *= 10;
-      Schedule(now + delay, [this, from, to, bytes] { Arrive(from, to, bytes); });
+  void Transmit(int from, int to, const std::vector<uint8_t>& bytes) {
+    longest_datagram_ = std::max(longest_datagram_, bytes.size());
+    if (!passes(from, to) || Uniform() < loss_share) return;
+    for (int copies = Uniform() < duplicate_share ? 2 : 1; copies > 0; --copies) {
+      auto delay = min_delay + static_cast<Micros>(Uniform() * static_cast<double>(max_delay - min_delay));
+      if (Uniform() < late_share) delay *= 10;
+      Schedule(now + delay, [this, from, to, bytes] { Deliver(from, to, bytes); });
     }
   }
-  void Arrive(int from, int to, const std::vector<uint8_t>& bytes) {
-    Member& one = members[static_cast<size_t>(to)];
-    if (one.core == nullptr) return;
-    ++one.all_in;
-    one.in.push_back(now);
-    std::erase_if(one.in, [&](Micros at) { return at + kSecond <= now; });
-    one.peak_in = std::max(one.peak_in, one.in.size());
-    if (one.stopped) return one.waiting.emplace_back(from, bytes), void();
-    Do(to, [&](Actions* out) { one.core->OnDatagram(now, from, bytes, out); });
+  void Deliver(int from, int to, const std::vector<uint8_t>& bytes) {
+    Member& member = members[static_cast<size_t>(to)];
+    if (member.core == nullptr) return;
+    ++member.total_arrivals;
+    member.recent_arrivals.push_back(now);
+    std::erase_if(member.recent_arrivals, [&](Micros at) { return at + kSecond <= now; });
+    member.peak_arrivals_per_s = std::max(member.peak_arrivals_per_s, member.recent_arrivals.size());
+    if (member.paused) return member.pending.emplace_back(from, bytes), void();
+    Execute(to, [&](Actions* out) { member.core->OnDatagram(now, from, bytes, out); });
   }
 
   std::mt19937_64 random_;
-  size_t longest_ = 0;
+  size_t longest_datagram_ = 0;
 
  public:
   std::vector<Member> members;
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -8,27 +8,28 @@
 namespace lemonchute::membership {
 namespace {
 
-Message Full() {
-  Message m;
-  m.kind = Kind::kDigests, m.from = 3, m.target = 7, m.sequence = 0x01020304, m.digest = 0x1122334455667788;
-  m.updates = {{5, State::kSuspect, 2, 9, {11, 12}}, {6, State::kLeft, 6, 1, {13, 14}}};
-  for (uint32_t i = 0; i < kViewParts; ++i) m.part_digests.push_back(i * 7);
-  return m;
+Message FullMessage() {
+  Message message;
+  message.kind = Kind::kDigests, message.from = 3, message.target = 7, message.sequence = 0x01020304,
+  message.digest = 0x1122334455667788;
+  message.updates = {{5, State::kSuspect, 2, 9, {11, 12}}, {6, State::kLeft, 6, 1, {13, 14}}};
+  for (uint32_t i = 0; i < kViewParts; ++i) message.part_digests.push_back(i * 7);
+  return message;
 }
 
 TEST(MembershipMessage, ReadsBackWhatWasWritten) {
-  DecodeError fault = DecodeError::kNone;
-  auto read = Decode(Encode(Full()), 10, &fault);
-  ASSERT_TRUE(read) << Name(fault);
-  EXPECT_EQ(read->kind, Kind::kDigests);
-  EXPECT_EQ(read->sequence, 0x01020304u);
-  EXPECT_EQ(read->digest, 0x1122334455667788u);
-  EXPECT_EQ(read->updates, Full().updates);
-  EXPECT_EQ(read->part_digests, Full().part_digests);
-  Message crowded = Full();
-  crowded.updates.assign(99, crowded.updates[0]);
-  EXPECT_LE(Encode(crowded).size(), kMaxDatagramBytes);
-  EXPECT_EQ(Decode(Encode(crowded), 10, &fault)->updates.size(), UpdatesThatFit(true));
+  DecodeError error = DecodeError::kNone;
+  auto decoded = Decode(Encode(FullMessage()), 10, &error);
+  ASSERT_TRUE(decoded) << Name(error);
+  EXPECT_EQ(decoded->kind, Kind::kDigests);
+  EXPECT_EQ(decoded->sequence, 0x01020304u);
+  EXPECT_EQ(decoded->digest, 0x1122334455667788u);
+  EXPECT_EQ(decoded->updates, FullMessage().updates);
+  EXPECT_EQ(decoded->part_digests, FullMessage().part_digests);
+  Message oversized = FullMessage();
+  oversized.updates.assign(99, oversized.updates[0]);
+  EXPECT_LE(Encode(oversized).size(), kMaxDatagramBytes);
+  EXPECT_EQ(Decode(Encode(oversized), 10, &error)->updates.size(), UpdatesThatFit(true));
 }
 
 // The form by hand, as a second reader would have it from docs/MEMBERSHIP.md: any change of it is seen here.
@@ -44,67 +45,68 @@
       0,    5,    1,    0,    2,    0,    0,    0,    9,  // member, state, by, incarnation
       0xa1, 0xa2, 0xa3, 0xa4, 0xb1, 0xb2, 0xb3, 0xb4};    // program, configuration
   EXPECT_EQ(Encode(ping), bytes);
-  DecodeError fault = DecodeError::kNone;
-  EXPECT_EQ(Decode(bytes, 8, &fault)->updates, ping.updates);
+  DecodeError error = DecodeError::kNone;
+  EXPECT_EQ(Decode(bytes, 8, &error)->updates, ping.updates);
 }
 
 TEST(MembershipMessage, WhatANewerVersionAddsIsSkipped) {
-  std::vector<uint8_t> bytes = Encode(Full());
+  std::vector<uint8_t> bytes = Encode(FullMessage());
   for (uint8_t byte : {uint8_t{200}, uint8_t{3}, uint8_t{1}, uint8_t{2}, uint8_t{3}}) bytes.push_back(byte);
-  DecodeError fault = DecodeError::kNone;
-  auto read = Decode(bytes, 10, &fault);
-  ASSERT_TRUE(read);
-  EXPECT_EQ(read->updates, Full().updates);
+  DecodeError error = DecodeError::kNone;
+  auto decoded = Decode(bytes, 10, &error);
+  ASSERT_TRUE(decoded);
+  EXPECT_EQ(decoded->updates, FullMessage().updates);
 }
 
 TEST(MembershipMessage, EachFaultIsNamedAndNoNoiseHarms) {
-  const std::vector<uint8_t> sound = Encode(Full());
-  auto bent = [&](size_t at, uint8_t to) {
-    std::vector<uint8_t> bytes = sound;
-    bytes[at] = to;
+  const std::vector<uint8_t> valid = Encode(FullMessage());
+  auto with_byte = [&](size_t at, uint8_t value) {
+    std::vector<uint8_t> bytes = valid;
+    bytes[at] = value;
     return bytes;
   };
   struct Case {
     std::vector<uint8_t> bytes;
-    DecodeError fault;
+    DecodeError error;
   };
   for (const Case& c :
        {Case{{}, DecodeError::kLength}, Case{std::vector<uint8_t>(257, 'L'), DecodeError::kLength},
-        Case{bent(2, 9), DecodeError::kFormat}, Case{bent(3, 99), DecodeError::kKind},
-        Case{bent(4, 200), DecodeError::kNumber}, Case{bent(21, 255), DecodeError::kSection},
-        Case{bent(88, 200), DecodeError::kNumber}, Case{bent(90, 7), DecodeError::kSection},
-        Case{bent(91, 200), DecodeError::kNumber}, Case{bent(93, 0x7f), DecodeError::kIncarnation}}) {
-    DecodeError fault = DecodeError::kNone;
-    EXPECT_FALSE(Decode(c.bytes, 10, &fault));
-    EXPECT_EQ(Name(fault), std::string(Name(c.fault)));
+        Case{with_byte(2, 9), DecodeError::kFormat}, Case{with_byte(3, 99), DecodeError::kKind},
+        Case{with_byte(4, 200), DecodeError::kNumber}, Case{with_byte(21, 255), DecodeError::kSection},
+        Case{with_byte(88, 200), DecodeError::kNumber}, Case{with_byte(90, 7), DecodeError::kSection},
+        Case{with_byte(91, 200), DecodeError::kNumber},
+        Case{with_byte(93, 0x7f), DecodeError::kIncarnation}}) {
+    DecodeError error = DecodeError::kNone;
+    EXPECT_FALSE(Decode(c.bytes, 10, &error));
+    EXPECT_EQ(Name(error), std::string(Name(c.error)));
   }
   std::mt19937_64 random(1);
-  DecodeError fault = DecodeError::kNone;
-  for (size_t length = 0; length <= sound.size(); ++length) Decode({sound.data(), length}, 10, &fault);
+  DecodeError error = DecodeError::kNone;
+  for (size_t length = 0; length <= valid.size(); ++length) Decode({valid.data(), length}, 10, &error);
   for (int i = 0; i < 100000; ++i) {
-    std::vector<uint8_t> bytes = sound;
+    std::vector<uint8_t> bytes = valid;
     bytes.resize(random() % (kMaxDatagramBytes + 8));
     for (int n = static_cast<int>(random() % 8); n > 0 && !bytes.empty(); --n)
       bytes[random() % bytes.size()] = static_cast<uint8_t>(random());
     if (i % 4 == 0) {
       for (uint8_t& byte : bytes) byte = static_cast<uint8_t>(random());
     }
-    Decode(bytes, 10, &fault);
+    Decode(bytes, 10, &error);
   }
 }
 
 // Hostile and stale datagrams to one member: dropped and counted, and the view stays as it is.
 TEST(Membership, NeitherStrangersNorReplaysNorNoiseMoveAView) {
-  Net net(5, 1);
+  SimulatedNetwork net(5, 1);
   net.StartAll();
   net.Run(20 * kSecond);
-  ASSERT_TRUE(net.OneDigest());
+  ASSERT_TRUE(net.DigestsAgree());
   Membership& core = *net.members[0].core;
   uint64_t digest = core.view().digest();
   Actions out;
-  Message third;
-  third.from = 3;
-  std::vector<uint8_t> bytes = Encode(third);
+  Message impostor;
+  impostor.from = 3;
+  std::vector<uint8_t> bytes = Encode(impostor);
   core.OnDatagram(net.now, -1, bytes, &out);
   core.OnDatagram(net.now, 99, bytes, &out);
   core.OnDatagram(net.now, 2, bytes, &out);  // it says that it is 3
@@ -122,30 +124,30 @@
   EXPECT_LE(out.send.size() - sent, 15u);
 }
 
-struct Fleet {
-  Fleet(size_t members, uint64_t seed) : net(members, seed) {
+struct ConvergedFleet {
+  ConvergedFleet(size_t members, uint64_t seed) : net(members, seed) {
     net.on_change = [this](int, const Change& change) {
       if (change.current == State::kDead) ++deaths[change.member];
     };
     net.StartAll();
     net.Run(15 * kSecond);
   }
-  Net net;
+  SimulatedNetwork net;
   std::map<int, int> deaths;
 };
 
 constexpr size_t kMembers = 40;
-constexpr Micros kBound = 60 * kSecond;
+constexpr Micros kConvergenceBound = 60 * kSecond;
 
 TEST(Membership, ADeathIsKnownToAllAndNobodyElseDies) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
-    Fleet fleet(kMembers, seed);
-    EXPECT_TRUE(fleet.net.OneDigest()) << seed;
+    ConvergedFleet fleet(kMembers, seed);
+    EXPECT_TRUE(fleet.net.DigestsAgree()) << seed;
     EXPECT_EQ(fleet.net.members[5].core->ComputeVerdict(fleet.net.now), Verdict::kConverged);
     fleet.net.Kill(7);
-    Micros most = fleet.net.members[5].core->MaxSuspicionTimeout();
-    EXPECT_GE(fleet.net.RunUntil(fleet.net.now + most + 5 * kSecond,
-                                 [&] { return fleet.net.All(7, State::kDead); }),
+    Micros max_timeout = fleet.net.members[5].core->MaxSuspicionTimeout();
+    EXPECT_GE(fleet.net.RunUntil(fleet.net.now + max_timeout + 5 * kSecond,
+                                 [&] { return fleet.net.AllSee(7, State::kDead); }),
               0)
         << seed;
     EXPECT_EQ(fleet.deaths.size(), 1u) << seed;
@@ -154,21 +156,22 @@
 
 TEST(Membership, AReturnWithoutMemoryGetsAboveWhatIsBelieved) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
-    Fleet fleet(kMembers, seed);
+    ConvergedFleet fleet(kMembers, seed);
     fleet.net.Kill(7);
-    fleet.net.RunUntil(kBound, [&] { return fleet.net.All(7, State::kDead); });
+    fleet.net.RunUntil(kConvergenceBound, [&] { return fleet.net.AllSee(7, State::kDead); });
     fleet.net.Start(7, {2, 2});
-    EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kBound,
-                                 [&] { return fleet.net.All(7, State::kAlive) && fleet.net.OneDigest(); }),
-              0)
+    EXPECT_GE(
+        fleet.net.RunUntil(fleet.net.now + kConvergenceBound,
+                           [&] { return fleet.net.AllSee(7, State::kAlive) && fleet.net.DigestsAgree(); }),
+        0)
         << seed;
     EXPECT_EQ(fleet.net.members[3].core->view().At(7).version, (SoftwareVersion{2, 2}));
     // And at once, before anybody has noticed: what it runs now is known all the same.
     fleet.net.Kill(9);
     fleet.net.Start(9, {3, 3});
-    EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kBound,
+    EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kConvergenceBound,
                                  [&] {
-                                   return fleet.net.OneDigest() &&
+                                   return fleet.net.DigestsAgree() &&
                                           fleet.net.members[3].core->view().At(9).version ==
                                               SoftwareVersion{3, 3};
                                  }),
@@ -178,33 +181,38 @@
 }
 
 TEST(Membership, APlannedLeaveIsNeverADeath) {
-  Fleet fleet(kMembers, 3);
-  fleet.net.Do(7, [&](Actions* out) { fleet.net.members[7].core->Leave(fleet.net.now, out); });
+  ConvergedFleet fleet(kMembers, 3);
+  fleet.net.Execute(7, [&](Actions* out) { fleet.net.members[7].core->Leave(fleet.net.now, out); });
   fleet.net.Schedule(fleet.net.now + kSecond, [&] { fleet.net.Kill(7); });
-  EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kBound, [&] { return fleet.net.All(7, State::kLeft); }), 0);
+  EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kConvergenceBound,
+                               [&] { return fleet.net.AllSee(7, State::kLeft); }),
+            0);
   EXPECT_TRUE(fleet.deaths.empty());
 }
 
 TEST(Membership, AReturnFromALeaveIsKnownAndWhoeverLeftSeesTheFleet) {
-  Fleet fleet(kMembers, 6);
-  Membership& seventh = *fleet.net.members[7].core;
-  fleet.net.Do(7, [&](Actions* out) { seventh.Leave(fleet.net.now, out); });
-  EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kBound, [&] { return fleet.net.All(7, State::kLeft); }), 0);
-  fleet.net.Kill(3);
-  EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kBound,
-                               [&] { return fleet.net.All(3, State::kDead) && fleet.net.OneDigest(); }),
+  ConvergedFleet fleet(kMembers, 6);
+  Membership& leaver = *fleet.net.members[7].core;
+  fleet.net.Execute(7, [&](Actions* out) { leaver.Leave(fleet.net.now, out); });
+  EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kConvergenceBound,
+                               [&] { return fleet.net.AllSee(7, State::kLeft); }),
             0);
-  fleet.net.Do(7, [&](Actions*) { seventh.Rejoin(fleet.net.now); });
-  EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kBound,
-                               [&] { return fleet.net.All(7, State::kAlive) && fleet.net.OneDigest(); }),
+  fleet.net.Kill(3);
+  EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kConvergenceBound,
+                               [&] { return fleet.net.AllSee(3, State::kDead) && fleet.net.DigestsAgree(); }),
             0);
+  fleet.net.Execute(7, [&](Actions*) { leaver.Rejoin(fleet.net.now); });
+  EXPECT_GE(
+      fleet.net.RunUntil(fleet.net.now + kConvergenceBound,
+                         [&] { return fleet.net.AllSee(7, State::kAlive) && fleet.net.DigestsAgree(); }),
+      0);
   EXPECT_EQ(fleet.deaths.size(), 1u);
 }
 
 // A list that grows and shrinks at one member before the others: nobody dies of it, and one view follows.
 TEST(Membership, ListsOfPeersMayDifferForAWhile) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
-    Fleet fleet(12, seed);
+    ConvergedFleet fleet(12, seed);
     fleet.net.Kill(11);
     for (int m = 0; m < 11; m += 2) fleet.net.members[static_cast<size_t>(m)].core->Resize(fleet.net.now, 11);
     fleet.net.Run(fleet.net.now + 10 * kSecond);
@@ -213,9 +221,10 @@
     EXPECT_EQ(fleet.net.members[1].core->view().Count(State::kAlive), 11u);
     for (int m = 0; m < 11; m += 2) fleet.net.members[static_cast<size_t>(m)].core->Resize(fleet.net.now, 12);
     fleet.net.Start(11);
-    EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kBound,
-                                 [&] { return fleet.net.All(11, State::kAlive) && fleet.net.OneDigest(); }),
-              0)
+    EXPECT_GE(
+        fleet.net.RunUntil(fleet.net.now + kConvergenceBound,
+                           [&] { return fleet.net.AllSee(11, State::kAlive) && fleet.net.DigestsAgree(); }),
+        0)
         << seed;
     for (const auto& [member, times] : fleet.deaths) EXPECT_EQ(member, 11);
   }
@@ -223,7 +232,7 @@
 
 // One that floods us has no more than half of our pace; one that speaks with our number leaves us cut off.
 TEST(Membership, AFloodLeavesTheOthersTheirAnswersAndAClaimIsNamed) {
-  Net net(5, 1);
+  SimulatedNetwork net(5, 1);
   net.StartAll();
   net.Run(20 * kSecond);
   Membership& core = *net.members[0].core;
@@ -254,10 +263,10 @@
 
 TEST(Membership, ARestartOfAllATenthAtATimeIsNoDeath) {
   for (uint64_t seed = 1; seed <= 3; ++seed) {
-    Fleet fleet(kMembers, seed);
+    ConvergedFleet fleet(kMembers, seed);
     for (int wave = 0; wave < 10; ++wave) {
       for (int m = wave * 4; m < wave * 4 + 4; ++m) {
-        fleet.net.Do(m, [&](Actions* out) {
+        fleet.net.Execute(m, [&](Actions* out) {
           fleet.net.members[static_cast<size_t>(m)].core->Leave(fleet.net.now, out);
         });
         fleet.net.Schedule(fleet.net.now + kSecond, [&fleet, m] { fleet.net.Kill(m); });
@@ -265,35 +274,36 @@
       }
       fleet.net.Run(fleet.net.now + 3 * kSecond);
     }
-    auto renewed = [&] {
-      if (!fleet.net.OneDigest()) return false;
+    auto all_restarted = [&] {
+      if (!fleet.net.DigestsAgree()) return false;
       const View& view = fleet.net.members[0].core->view();
       for (size_t m = 0; m < kMembers; ++m) {
         if (view.At(m).state != State::kAlive || view.At(m).version != SoftwareVersion{2, 2}) return false;
       }
       return true;
     };
-    EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kBound, renewed), 0) << seed;
+    EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kConvergenceBound, all_restarted), 0) << seed;
     EXPECT_TRUE(fleet.deaths.empty()) << seed << ": " << fleet.deaths.size();
-    for (Net::Member& m : fleet.net.members) EXPECT_LE(m.peak_in, 60u) << seed;
+    for (SimulatedNetwork::Member& m : fleet.net.members) EXPECT_LE(m.peak_arrivals_per_s, 60u) << seed;
   }
 }
 
 TEST(Membership, AStopOfSecondsAccusesNobodyAndIsRefuted) {
-  Fleet fleet(kMembers, 4);
-  for (int m : {1, 2, 3}) fleet.net.Stop(m);
+  ConvergedFleet fleet(kMembers, 4);
+  for (int m : {1, 2, 3}) fleet.net.Pause(m);
   fleet.net.Run(fleet.net.now + 2 * kSecond);
-  for (int m : {1, 2, 3}) fleet.net.GoOn(m);
-  EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kBound, [&] { return fleet.net.OneDigest(); }), 0);
+  for (int m : {1, 2, 3}) fleet.net.Resume(m);
+  EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kConvergenceBound, [&] { return fleet.net.DigestsAgree(); }),
+            0);
   EXPECT_TRUE(fleet.deaths.empty());
   EXPECT_GE(fleet.net.members[1].core->counts().stalls, 1u);
 }
 
 TEST(Membership, ACutAndItsHealAndTheFewWhoAreAlone) {
-  Fleet fleet(kMembers, 5);
+  ConvergedFleet fleet(kMembers, 5);
   // A fifth of the fleet is cut off; then a one-way cut; then all is well.
   fleet.net.passes = [](int from, int to) { return (from < 8) == (to < 8); };
-  EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kBound,
+  EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kConvergenceBound,
                                [&] {
                                  return fleet.net.members[2].core->ComputeVerdict(fleet.net.now) ==
                                             Verdict::kCutOff &&
@@ -304,9 +314,9 @@
   fleet.net.passes = [](int from, int) { return from >= 8; };
   fleet.net.Run(fleet.net.now + 10 * kSecond);
   fleet.net.passes = [](int, int) { return true; };
-  EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kBound,
+  EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kConvergenceBound,
                                [&] {
-                                 return fleet.net.OneDigest() &&
+                                 return fleet.net.DigestsAgree() &&
                                         fleet.net.members[2].core->view().Count(State::kAlive) == kMembers;
                                }),
             0);
@@ -318,58 +328,59 @@
 // pace.
 TEST(Membership, AfterAnyHistoryAllComeToOneViewInTheQuiet) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
-    Net net(24, seed);
+    SimulatedNetwork net(24, seed);
     net.StartAll();
     std::mt19937_64 random(seed * 77);
-    std::vector<char> cut(24, 0);
+    std::vector<char> isolated(24, 0);
     net.passes = [&](int from, int to) {
-      return cut[static_cast<size_t>(from)] == cut[static_cast<size_t>(to)];
+      return isolated[static_cast<size_t>(from)] == isolated[static_cast<size_t>(to)];
     };
     for (int i = 0; i < 30; ++i) {
       net.Run(net.now + static_cast<Micros>(random() % (3 * kSecond)));
       int m = static_cast<int>(random() % 24);
-      Net::Member& one = net.members[static_cast<size_t>(m)];
+      SimulatedNetwork::Member& member = net.members[static_cast<size_t>(m)];
       switch (random() % 5) {
         case 0: net.Kill(m); break;
         case 1: net.Start(m, {static_cast<uint32_t>(random() % 3), 1}); break;
-        case 2: one.stopped ? net.GoOn(m) : net.Stop(m); break;
-        case 3: cut[static_cast<size_t>(m)] ^= 1; break;
+        case 2: member.paused ? net.Resume(m) : net.Pause(m); break;
+        case 3: isolated[static_cast<size_t>(m)] ^= 1; break;
         case 4:
-          net.Do(m, [&](Actions*) {
-            if (one.core && !one.stopped) one.core->SetVersion(net.now, {9, static_cast<uint32_t>(i)});
+          net.Execute(m, [&](Actions*) {
+            if (member.core && !member.paused)
+              member.core->SetVersion(net.now, {9, static_cast<uint32_t>(i)});
           });
           break;
       }
     }
-    std::fill(cut.begin(), cut.end(), 0);
+    std::fill(isolated.begin(), isolated.end(), 0);
     for (int m = 0; m < 24; ++m) {
-      if (net.members[static_cast<size_t>(m)].stopped) net.GoOn(m);
+      if (net.members[static_cast<size_t>(m)].paused) net.Resume(m);
     }
-    auto quiet = [&] {
-      if (!net.OneDigest()) return false;
+    auto converged = [&] {
+      if (!net.DigestsAgree()) return false;
       for (int m = 0; m < 24; ++m) {
-        if (!net.All(m, net.members[static_cast<size_t>(m)].core ? State::kAlive : State::kDead))
+        if (!net.AllSee(m, net.members[static_cast<size_t>(m)].core ? State::kAlive : State::kDead))
           return false;
       }
       return true;
     };
-    EXPECT_GE(net.RunUntil(net.now + 2 * kBound, quiet), 0) << seed;
-    EXPECT_LE(net.longest(), kMaxDatagramBytes);
-    for (Net::Member& m : net.members) EXPECT_LE(m.peak_in, 60u) << seed;
+    EXPECT_GE(net.RunUntil(net.now + 2 * kConvergenceBound, converged), 0) << seed;
+    EXPECT_LE(net.longest_datagram(), kMaxDatagramBytes);
+    for (SimulatedNetwork::Member& m : net.members) EXPECT_LE(m.peak_arrivals_per_s, 60u) << seed;
   }
 }
 
 TEST(Membership, TheSameSeedIsTheSameHistory) {
-  auto play = [](uint64_t seed) {
-    Fleet fleet(12, seed);
+  auto run = [](uint64_t seed) {
+    ConvergedFleet fleet(12, seed);
     fleet.net.Kill(3);
     fleet.net.Run(40 * kSecond);
     uint64_t sum = 0;
-    for (Net::Member& m : fleet.net.members) sum = sum * 31 + m.all_in;
+    for (SimulatedNetwork::Member& m : fleet.net.members) sum = sum * 31 + m.total_arrivals;
     return sum;
   };
-  EXPECT_EQ(play(1), play(1));
-  EXPECT_NE(play(1), play(2));
+  EXPECT_EQ(run(1), run(1));
+  EXPECT_NE(run(1), run(2));
 }
 
 }  // namespace
