--- a/src/budget/budgets.h
+++ b/src/budget/budgets.h
@@ -28,7 +28,7 @@
   void OnMessage(Micros now, uint16_t from, const Message& message, OutgoingMessages* out);
   // Has to be called at NextAt() or later; earlier calls do nothing.
   void Tick(Micros now, OutgoingMessages* out);
-  Micros NextAt() const;
+  Micros NextTickAt() const;
 
   // What the consumer could use of a budget, floor included. Sent with the next lease request.
   void SetDemand(uint32_t budget, uint32_t grains);
@@ -50,38 +50,39 @@
   // The steps that Tick takes by the clock; for tests that explore every order of them.
   void Campaign(Micros now, OutgoingMessages* out);
   void AbandonCampaign(Micros now, OutgoingMessages* out);
-  void RequestLeases(Micros now, OutgoingMessages* out, std::optional<uint16_t> at = std::nullopt);
+  void RequestLeases(Micros now, OutgoingMessages* out, std::optional<uint16_t> target = std::nullopt);
 
-  bool IsLeader(Micros now) const { return voter_ && now < votes_.Until(); }
+  bool IsLeader(Micros now) const { return voter_ && now < votes_.MajorityUntil(); }
   // At the leader: what all members may still use of a budget, without the floors.
   uint64_t Outstanding(Micros now, uint32_t budget) const;
   // All state but random numbers and timers, for comparing two instances.
   void Describe(std::ostream& out) const;
   struct Counts {
-    uint64_t campaigns = 0, asks = 0, grants = 0, answers = 0, stale = 0, unknown = 0;
+    uint64_t campaigns = 0, lease_requests = 0, grants = 0, grants_received = 0, stale_messages = 0,
+             rejected_entries = 0;
   };
   const Counts& counts() const { return counts_; }
 
  private:
   struct Holding {
-    Spec spec;
+    BudgetSpec spec;
     uint32_t demand = 0;
-    uint32_t amount = 0, number = 0, leader = 0;  // the grant, and the leader's incarnation
+    uint32_t amount = 0, grant_number = 0, leader_incarnation = 0;  // the grant, and the leader's incarnation
     Micros until = 0;
     uint64_t sublet = 0;
     uint32_t recall_limit = UINT32_MAX;  // what the leader offers while more is sublet
   };
 
-  bool Needs(const Holding& holding, Micros now) const;
+  bool NeedsRequest(const Holding& holding, Micros now) const;
   void Send(Micros now, uint16_t to, Message message, OutgoingMessages* out);
-  void OnVoteRequest(Micros now, uint16_t from, const Message& m, OutgoingMessages* out);
-  void OnLeaseRequest(Micros now, uint16_t from, const Message& m, OutgoingMessages* out);
-  void OnGrant(Micros now, const Message& m);
-  void OnVoteDenied(Micros now, const Message& m, OutgoingMessages* out);
+  void OnVoteRequest(Micros now, uint16_t from, const Message& message, OutgoingMessages* out);
+  void OnLeaseRequest(Micros now, uint16_t from, const Message& message, OutgoingMessages* out);
+  void OnGrant(Micros now, const Message& message);
+  void OnVoteDenied(Micros now, const Message& message, OutgoingMessages* out);
   void BackOff(Micros now, Micros wait, OutgoingMessages* out);
   uint16_t RandomVoter() { return settings_.voters[random_() % settings_.voters.size()]; }
-  Micros RandomDelay(Micros most);
-  bool IsVoter(uint16_t number) const;
+  Micros RandomDelay(Micros max_delay);
+  bool IsVoter(uint16_t member) const;
 
   Settings settings_;
   std::map<uint32_t, Holding> holdings_;
@@ -90,8 +91,8 @@
   std::map<uint32_t, Division> divisions_;
   std::map<uint32_t, Micros> pool_until_;  // of pools that end
   std::minstd_rand random_;  // for delays and for choosing voters; small, since tests copy many instances
-  bool campaigning_ = false, left_ = false;
-  int refused_ = 0;                      // in this campaign
+  bool campaigning_ = false, has_left_ = false;
+  int denials_ = 0;                      // in this campaign
   Micros campaign_at_ = 0;               // the next, or the next renewal
   uint16_t request_target_ = kNoMember;  // the leader as far as known, or a voter
   bool answered_ = true;                 // the last ask was
--- a/src/budget/division.h
+++ b/src/budget/division.h
@@ -14,9 +14,9 @@
 struct LeaseRequest {
   uint16_t holder = 0;
   uint32_t incarnation = 0;
-  uint32_t round = 0;   // grows with each request of that incarnation
-  uint32_t demand = 0;  // grains, beyond its floor
-  uint32_t held = 0;    // number of the grant in use; 0 for none, or for one of another leader
+  uint32_t round = 0;       // grows with each request of that incarnation
+  uint32_t demand = 0;      // grains, beyond its floor
+  uint32_t held_grant = 0;  // number of the grant in use; 0 for none, or for one of another leader
 };
 struct Grant {
   uint32_t number = 0, amount = 0;
@@ -30,7 +30,7 @@
   // @param until when all grants have to end, by the leader's clock.
   // @return nothing where the request is older than one that came before.
   std::optional<Grant> Answer(Micros now, const LeaseRequest& request, Micros term, Micros until,
-                              Micros lately);
+                              Micros demand_timeout);
   // What all holders may still use.
   uint64_t Outstanding(Micros now) const;
   // The demand of the holders with recent requests.
@@ -40,30 +40,30 @@
   void SetPool(uint32_t pool) { pool_ = pool; }
 
  private:
-  struct Part {
+  struct OutstandingGrant {
     uint32_t number = 0, amount = 0;
     Micros until = 0;
   };
   struct Incarnation {
     uint32_t round = 0;
-    std::vector<Part> parts;  // at most two: the one in use, and the one in flight
-    uint32_t Most(Micros now) const;
+    std::vector<OutstandingGrant> grants;  // at most two: the one in use, and the one in flight
+    uint32_t MaxAmount(Micros now) const;
   };
   struct Entitlement {
     uint32_t share = 0;
-    bool turn_begins = false;  // one grain of it is a turn of what the even share leaves over
+    bool starts_turn = false;  // one grain of it is a turn of what the even share leaves over
   };
   struct Holder {
     uint32_t demand = 0;
-    Micros asked_at = 0, turn_at = INT64_MIN / 2;  // when its last such turn began
-    std::map<uint32_t, Incarnation> incarnations;  // those whose parts may still be used
+    Micros requested_at = 0, turn_started_at = INT64_MIN / 2;  // when its last such turn began
+    std::map<uint32_t, Incarnation> incarnations;              // those whose parts may still be used
   };
 
-  void Expire(Micros now, Micros lately);
-  Entitlement Share(Micros now, uint16_t number, uint32_t held, Micros term) const;
+  void Expire(Micros now, Micros demand_timeout);
+  Entitlement ComputeEntitlement(Micros now, uint16_t holder_id, uint32_t held_amount, Micros term) const;
 
   uint32_t pool_;
-  uint32_t last_ = 0;
+  uint32_t last_grant_number_ = 0;
   std::map<uint16_t, Holder> holders_;
 };
 
--- a/src/budget/election.h
+++ b/src/budget/election.h
@@ -18,7 +18,7 @@
 namespace lemonchute::budget {
 
 struct Candidate {
-  uint16_t number = 0;
+  uint16_t member = 0;
   uint32_t incarnation = 0;
   bool operator==(const Candidate&) const = default;
 };
@@ -28,20 +28,20 @@
   Voter(Micros now, Micros term) : term_(term), until_(now + term) {}
 
   // @return whether `who` has the vote, for a term from now on.
-  bool RequestVote(Micros now, Candidate who, uint32_t round);
+  bool RequestVote(Micros now, Candidate candidate, uint32_t round);
   // Releases the vote, unless one was given in a later round.
-  void Release(Micros now, Candidate who, uint32_t round);
+  void Release(Micros now, Candidate candidate, uint32_t round);
   // When the vote is free again.
   Micros until() const { return until_; }
-  Candidate given_to() const { return given_to_; }
-  bool given() const { return given_; }
+  Candidate voted_for() const { return voted_for_; }
+  bool has_voted() const { return has_voted_; }
   // All of the state, for comparing two.
   void Describe(std::ostream& out) const;
 
  private:
   Micros term_;
-  bool given_ = false;
-  Candidate given_to_;
+  bool has_voted_ = false;
+  Candidate voted_for_;
   uint32_t round_ = 0;
   Micros until_;
 };
@@ -49,23 +49,23 @@
 // The votes that one process has been promised.
 class Votes {
  public:
-  Votes(size_t voters, Micros term) : voters_(voters), term_(term) {}
+  Votes(size_t voter_count, Micros term) : voter_count_(voter_count), term_(term) {}
 
   // Starts a round of requests; only answers to the latest round count.
-  uint32_t Begin(Micros now);
+  uint32_t BeginRound(Micros now);
   void AddVote(uint16_t voter, uint32_t round);
   void Clear();
   // Until when this process certainly is the only one with a majority; 0 without one.
-  Micros Until() const;
+  Micros MajorityUntil() const;
   uint32_t round() const { return round_; }
   void Describe(std::ostream& out) const;
 
  private:
-  size_t voters_;
+  size_t voter_count_;
   Micros term_;
   uint32_t round_ = 0;
   Micros requested_at_ = 0;
-  std::map<uint16_t, Micros> ends_;
+  std::map<uint16_t, Micros> vote_ends_;
 };
 
 }  // namespace lemonchute::budget
--- a/src/budget/hierarchical_budgets.h
+++ b/src/budget/hierarchical_budgets.h
@@ -11,23 +11,23 @@
 
 namespace lemonchute::budget {
 
-struct FleetSettings {
-  uint16_t self = 0, members = 0;
+struct HierarchicalSettings {
+  uint16_t self = 0, member_count = 0;
   uint32_t incarnation = 0;
-  std::vector<Spec> budgets;
+  std::vector<BudgetSpec> budgets;
   uint64_t seed = 0;
-  uint16_t group_size = 0;  // 0 for about the square root of the fleet's size
-  double asks_per_s = 12;   // lease requests that a leader is meant to serve
-  size_t voters = 5;        // in a group; and groups whose first member votes on the fleet's leader
+  uint16_t group_size = 0;           // 0 for about the square root of the fleet's size
+  double lease_requests_per_s = 12;  // lease requests that a leader is meant to serve
+  size_t max_voters = 5;             // in a group; and groups whose first member votes on the fleet's leader
 };
 
-class Fleet {
+class HierarchicalBudgets {
  public:
-  Fleet(const FleetSettings& settings, Micros now);
+  HierarchicalBudgets(const HierarchicalSettings& settings, Micros now);
 
   void OnMessage(Micros now, uint16_t from, const Message& message, OutgoingMessages* out);
   void Tick(Micros now, OutgoingMessages* out);
-  Micros NextAt() const;
+  Micros NextTickAt() const;
   // As in Budgets.
   void SetDemand(uint32_t budget, uint32_t grains) { group_->SetDemand(budget, grains); }
   uint32_t Usable(Micros now, uint32_t budget) const { return group_->Usable(now, budget); }
@@ -37,9 +37,9 @@
  private:
   template <typename Call>
   void CallInterGroup(OutgoingMessages* out, Call call);
-  void Join(Micros now);
+  void SyncLevels(Micros now);
 
-  std::vector<Spec> budgets_;
+  std::vector<BudgetSpec> budgets_;
   std::optional<Budgets> group_, inter_group_;  // among groups: who may ever ask or vote there
 };
 
--- a/src/budget/terms.h
+++ b/src/budget/terms.h
@@ -10,40 +10,40 @@
 using Micros = int64_t;  // of a process's own monotonic clock
 
 // The most that a monotonic clock may run too fast or too slow.
-inline constexpr double kDrift = 0.01;
+inline constexpr double kMaxClockDrift = 0.01;
 // The part of a lease that is certainly valid by our clock (Gray and Cheriton, "Leases", 1989).
 // @param promised the lease's term by the grantor's clock.
 // @return the term by our clock, counted from a moment before the lease was granted.
-inline Micros GuaranteedTerm(Micros promised) {
-  return static_cast<Micros>(static_cast<double>(promised) * (1 - kDrift) / (1 + kDrift));
+inline Micros GuaranteedTerm(Micros granted_term) {
+  return static_cast<Micros>(static_cast<double>(granted_term) * (1 - kMaxClockDrift) / (1 + kMaxClockDrift));
 }
 
 // A budget of the whole fleet, in grains: integers of a size that the consumer chooses, so that sums are
 // exact.
-struct Spec {
+struct BudgetSpec {
   uint32_t id = 0;
   uint32_t total = 0;
   // What each member may always use, even when it is partitioned from the rest. Times `slots`, the largest
   // number of members, it is no more than the total.
-  uint32_t floor = 0, slots = 0;
+  uint32_t floor = 0, max_members = 0;
   uint32_t Pool() const {
-    uint64_t floors = static_cast<uint64_t>(floor) * slots;
+    uint64_t floors = static_cast<uint64_t>(floor) * max_members;
     return floors >= total ? 0 : total - static_cast<uint32_t>(floors);
   }
-  bool IsValid() const { return static_cast<uint64_t>(floor) * slots <= total; }
+  bool IsValid() const { return static_cast<uint64_t>(floor) * max_members <= total; }
 };
 
 struct Settings {
   uint16_t self = 0;
   uint32_t incarnation = 0;      // random at each start: tells a process from those before it
   std::vector<uint16_t> voters;  // the same at all members, in any order
-  std::vector<Spec> budgets;
+  std::vector<BudgetSpec> budgets;
   Micros vote_term = 12'000'000;        // of a vote, by the voter's clock; the same at all members
   Micros request_interval = 1'000'000;  // between the lease requests of a holder
   uint64_t seed = 0;
   int lease_intervals = 3;
   uint16_t members_per_holder = 1;  // so many neighbouring members share one holder, their group
-  Micros RenewEvery() const { return vote_term / 4; }
+  Micros VoteRenewalInterval() const { return vote_term / 4; }
   // A lease survives two lost answers, and ends before the votes that it is granted under.
   Micros LeaseTerm() const { return lease_intervals * request_interval; }
 };
--- a/tests/budget_cuts.cmake
+++ b/tests/budget_cuts.cmake
@@ -31,15 +31,15 @@
 file(GLOB budget_files RELATIVE ${CMAKE_CURRENT_SOURCE_DIR}/src/budget ${CMAKE_CURRENT_SOURCE_DIR}/src/budget/*)
 # Seen by the search of every order.
 budget_cut(quarantine Every election.h "until_(now + term) {}" "until_(now) {}")
-budget_cut(release Every budgets.cpp "if (voter_ && !(IsLeader(now) && out_there))" "if (voter_)")
-budget_cut(lease Every budgets.cpp "Micros until = votes_.Until();" "Micros until = now + 100 * settings_.LeaseTerm();")
-budget_cut(use Every budgets.cpp "(now < h.until ? h.amount : 0)" "h.amount")
+budget_cut(release Every budgets.cpp "if (voter_ && !(IsLeader(now) && has_outstanding))" "if (voter_)")
+budget_cut(lease Every budgets.cpp "Micros until = votes_.MajorityUntil();" "Micros until = now + 100 * settings_.LeaseTerm();")
+budget_cut(use Every budgets.cpp "(now < holding.until ? holding.amount : 0)" "holding.amount")
 # Between two levels.
-budget_cut(lent_on NoHistoryMakesTheSumOf budgets.cpp "if (now < h.until && h.sublet > part.amount) {" "if (false) {")
-budget_cut(pool_end NoHistoryMakesTheSumOf budgets.cpp "until = std::min(until, ends->second);" ";")
+budget_cut(lent_on NoHistoryMakesTheSumOf budgets.cpp "if (now < holding.until && holding.sublet > entry.amount) {" "if (false) {")
+budget_cut(pool_end NoHistoryMakesTheSumOf budgets.cpp "until = std::min(until, pool_end->second);" ";")
 # Seen by drawn histories: they need finer moments, or more words on the way at once.
-budget_cut(margin NoHistory terms.h "(1 - kDrift) / (1 + kDrift)" "1.0")
-budget_cut(on_the_way NoHistory division.cpp "incarnation.parts.push_back({grant.number, grant.amount, now + grant.term})"
-           "incarnation.parts = {{grant.number, grant.amount, now + grant.term}}")
-budget_cut(old_answer NoHistory budgets.cpp "if (m.round != request_round_) return void(++counts_.stale)" "")
+budget_cut(margin NoHistory terms.h "(1 - kMaxClockDrift) / (1 + kMaxClockDrift)" "1.0")
+budget_cut(on_the_way NoHistory division.cpp "incarnation.grants.push_back({grant.number, grant.amount, now + grant.term})"
+           "incarnation.grants = {{grant.number, grant.amount, now + grant.term}}")
+budget_cut(old_answer NoHistory budgets.cpp "if (message.round != request_round_) return void(++counts_.stale_messages)" "")
 budget_cut(from_now NoHistory budgets.cpp "Micros until = requested_at_ + GuaranteedTerm" "Micros until = now + GuaranteedTerm")
--- a/tests/budget_test.cpp
+++ b/tests/budget_test.cpp
@@ -12,7 +12,7 @@
 template <typename AnyWorld>
 void WantAll(AnyWorld* world, uint32_t grains) {
   for (size_t n = 0; n < world->processes.size(); ++n) {
-    for (const Spec& spec : world->form.budgets) world->SetDemand(static_cast<int>(n), spec.id, grains);
+    for (const BudgetSpec& spec : world->form.budgets) world->SetDemand(static_cast<int>(n), spec.id, grains);
   }
 }
 
@@ -87,7 +87,7 @@
     WantAll(&world, 1000);
     uint64_t alive = 0;
     for (World::Process& p : world.processes) alive += p.core ? 1 : 0;
-    const Spec& large = world.form.budgets[0];
+    const BudgetSpec& large = world.form.budgets[0];
     // The floors of the dead are theirs; of all else 95 in 100. Stated: the quarantine of votes, a campaign
     // or three under loss, and then a part's term and two asks.
     uint64_t most = large.total - large.floor * (count - alive);
@@ -171,9 +171,9 @@
   WantAll(&world, 0);
   world.Run(world.now + world.form.LeaseTerm() + 2 * kSecond);
   uint64_t asks = 0, later = 0;
-  for (World::Process& p : world.processes) asks += p.core->counts().asks;
+  for (World::Process& p : world.processes) asks += p.core->counts().lease_requests;
   world.Run(world.now + 30 * kSecond);
-  for (World::Process& p : world.processes) later += p.core->counts().asks;
+  for (World::Process& p : world.processes) later += p.core->counts().lease_requests;
   EXPECT_EQ(asks, later);
 }
 
@@ -181,11 +181,11 @@
 TEST(Budgets, BadInputIsNoPart) {
   std::mt19937_64 random(1);
   Message sound;
-  sound.kind = Kind::kGrant, sound.parts = {{1, 2, 3}, {4, 5, 6}}, sound.term = 5000;
-  std::vector<uint8_t> bytes = Write(sound);
-  EXPECT_EQ(Read(bytes)->parts, sound.parts);
+  sound.kind = Kind::kGrant, sound.entries = {{1, 2, 3}, {4, 5, 6}}, sound.term = 5000;
+  std::vector<uint8_t> bytes = Encode(sound);
+  EXPECT_EQ(Decode(bytes)->entries, sound.entries);
   for (size_t length = 0; length < bytes.size(); ++length)
-    EXPECT_FALSE(Read({bytes.data(), length})) << length;
+    EXPECT_FALSE(Decode({bytes.data(), length})) << length;
   Settings form = FormOf(3, 3, {100});
   form.self = 2, form.incarnation = 9;
   Budgets core(form, 0);
@@ -196,7 +196,7 @@
     std::vector<uint8_t> noise = bytes;
     for (size_t n = random() % 12; n > 0; --n)
       noise[random() % noise.size()] = static_cast<uint8_t>(random());
-    auto read = Read(noise);
+    auto read = Decode(noise);
     if (read) core.OnMessage(2000, static_cast<uint16_t>(random() % 3), *read, &out);
     if (i % 1000 == 0) out.clear();
   }
@@ -210,7 +210,7 @@
   EXPECT_FALSE(core.IsLeader(20 * kSecond));
   Message greedy;
   greedy.kind = Kind::kGrant, greedy.incarnation = 9, greedy.round = 1, greedy.term = kSecond,
-  greedy.parts = {{1, 101, 1}};
+  greedy.entries = {{1, 101, 1}};
   core.OnMessage(2000, 0, greedy, &out);
   EXPECT_EQ(core.Usable(3000, 1), 16u);
   // Floors that sum to more than the whole give nobody anything.
@@ -244,7 +244,7 @@
     int restarts = 0, copies = 0;
   };
   static Micros Clock(Micros now, size_t n) {
-    const double rates[] = {1 - kDrift, 1 + kDrift, 1};
+    const double rates[] = {1 - kMaxClockDrift, 1 + kMaxClockDrift, 1};
     return static_cast<Micros>(static_cast<double>(now) * rates[n]) + static_cast<Micros>(n) * 77 * kSecond;
   }
   static Settings Form(size_t n, uint32_t incarnation) {
@@ -349,7 +349,7 @@
     }
     std::vector<std::string> way;
     for (const auto& [o, from] : state.way) {
-      std::vector<uint8_t> bytes = Write(o.message);
+      std::vector<uint8_t> bytes = Encode(o.message);
       way.push_back(std::string(bytes.begin(), bytes.end()) + static_cast<char>(o.to) +
                     static_cast<char>(from));
     }
--- a/tests/budget_world.h
+++ b/tests/budget_world.h
@@ -37,7 +37,7 @@
 
   BasicWorld(size_t count, uint64_t seed) : processes(count), random_(seed) {
     for (Process& p : processes)
-      p.rate = 1 - kDrift + 2 * kDrift * Uniform(), p.shift = Below(1000 * kSecond);
+      p.rate = 1 - kMaxClockDrift + 2 * kMaxClockDrift * Uniform(), p.shift = Below(1000 * kSecond);
   }
   Micros Clock(const Process& p) const {
     return p.shift + static_cast<Micros>(static_cast<double>(now) * p.rate);
@@ -95,7 +95,7 @@
   void OnRunEnd() override { Look(); }
   double Uniform() { return static_cast<double>(random_() >> 11) * 0x1p-53; }
   void Look() {
-    for (const Spec& spec : form.budgets) {
+    for (const BudgetSpec& spec : form.budgets) {
       uint64_t sum = Sum(spec.id);
       if (sum <= spec.total) continue;
       if (over++ == 0) {
@@ -110,7 +110,7 @@
     Process& p = processes[static_cast<size_t>(n)];
     if (!p.core) return;
     uint64_t plan = ++p.planned, incarnation = p.incarnation;
-    Micros next = p.core->NextAt();
+    Micros next = p.core->NextTickAt();
     if (next == INT64_MAX) return;
     auto wait = std::max<Micros>(1, static_cast<Micros>(static_cast<double>(next - Clock(p)) / p.rate) + 1);
     Schedule(now + wait, [this, n, plan, incarnation] {
@@ -122,9 +122,9 @@
   void Carry(int from, const Outgoing& o) {
     ++sent;
     // As it goes over the wire.
-    std::vector<uint8_t> written = Write(o.message);
+    std::vector<uint8_t> written = Encode(o.message);
     bytes += written.size();
-    std::optional<Message> read = budget::Read(written);
+    std::optional<Message> read = budget::Decode(written);
     if (!read || !passes(from, o.to) || Uniform() < loss) return;
     for (int copies = Uniform() < doubled ? 2 : 1; copies > 0; --copies) {
       Micros delay = 2'000 + static_cast<Micros>(Below(18'000));
@@ -150,15 +150,15 @@
 };
 
 // Two levels.
-class FleetWorld : public BasicWorld<Fleet> {
+class FleetWorld : public BasicWorld<HierarchicalBudgets> {
  public:
   FleetWorld(size_t count, uint64_t seed, uint16_t group_size) : BasicWorld(count, seed) {
     make = [count, group_size](const Settings& s, Micros at) {
-      FleetSettings settings;
-      settings.self = s.self, settings.members = static_cast<uint16_t>(count),
+      HierarchicalSettings settings;
+      settings.self = s.self, settings.member_count = static_cast<uint16_t>(count),
       settings.incarnation = s.incarnation;
       settings.budgets = s.budgets, settings.seed = s.seed, settings.group_size = group_size;
-      return std::make_unique<Fleet>(settings, at);
+      return std::make_unique<HierarchicalBudgets>(settings, at);
     };
   }
 };
