--- a/tests/budget_measure.cpp
+++ b/tests/budget_measure.cpp
@@ -12,10 +12,10 @@
 using lemonchute::kSecond;
 
 // An arbiter hears so many asks a second at most: a quarter of what a gateway takes in (60), less its votes.
-constexpr double kAsksPerS = 12;
-constexpr uint32_t kWhole = 30000;
+constexpr double kLeaseRequestsPerS = 12;
+constexpr uint32_t kTotal = 30000;
 
-struct Figure {
+struct Samples {
   std::vector<double> values;
   void Add(Micros from, Micros to) { values.push_back(to < 0 ? 1e9 : static_cast<double>(to - from) * 1e-6); }
   void Print(const char* name, bool most_is_worst = true) {
@@ -25,63 +25,65 @@
   }
 };
 
-template <typename AnyWorld, typename Make>
-void Measure(uint16_t members, uint64_t seeds, const char* levels, Make make) {
-  Figure start, dead, steady, leader;
-  double sent = 0, bytes = 0, over = 0, seconds = 0;
+template <typename Simulation, typename MakeSimulation>
+void Measure(uint16_t members, uint64_t seeds, const char* levels, MakeSimulation make_simulation) {
+  Samples startup, after_kill, steady, after_leader_death;
+  double sent = 0, bytes = 0, violations = 0, seconds = 0;
   for (uint64_t seed = 1; seed <= seeds; ++seed) {
-    AnyWorld world = make(seed);
-    auto all = [&](uint64_t gone) {
-      return [&world, gone, members] {
-        return world.Sum(1) * 100 >= (kWhole - gone * (kWhole / 2 / members)) * 95;
+    Simulation simulation = make_simulation(seed);
+    auto reaches_95_percent = [&](uint64_t killed_count) {
+      return [&simulation, killed_count, members] {
+        return simulation.TotalUsable(1) * 100 >= (kTotal - killed_count * (kTotal / 2 / members)) * 95;
       };
     };
-    auto want = [&](int n) { world.SetDemand(n, 1, kWhole / 4); };
+    auto set_demand = [&](int n) { simulation.SetDemand(n, 1, kTotal / 4); };
     // Of the whole, that can be used: the mean of a minute.
-    auto share = [&] {
+    auto usable_share = [&] {
       double sum = 0;
       for (int i = 0; i < 60; ++i) {
-        world.Run(world.now + kSecond);
-        sum += static_cast<double>(world.Sum(1)) / kWhole / 60;
+        simulation.Run(simulation.now + kSecond);
+        sum += static_cast<double>(simulation.TotalUsable(1)) / kTotal / 60;
       }
       return 100 * sum;
     };
-    world.look_each = false;
-    world.StartAll();
-    for (int n = 0; n < members; ++n) want(n);
-    start.Add(0, world.RunUntil(3600 * kSecond, all(0)));
-    uint64_t before = world.sent, bytes_before = world.bytes;
-    steady.values.push_back(share());
-    sent += static_cast<double>(world.sent - before),
-        bytes += static_cast<double>(world.bytes - bytes_before);
+    simulation.check_each_event = false;
+    simulation.StartAll();
+    for (int n = 0; n < members; ++n) set_demand(n);
+    startup.Add(0, simulation.RunUntil(3600 * kSecond, reaches_95_percent(0)));
+    uint64_t before = simulation.sent, bytes_before = simulation.bytes;
+    steady.values.push_back(usable_share());
+    sent += static_cast<double>(simulation.sent - before),
+        bytes += static_cast<double>(simulation.bytes - bytes_before);
     seconds += 60;
     // The last fifth: whole groups, and no voters of the fleet's arbiter.
-    Micros from = world.now;
+    Micros from = simulation.now;
     int killed = std::max(1, members / 5);
-    for (int n = 0; n < killed; ++n) world.Kill(members - 1 - n);
-    dead.Add(from, world.RunUntil(from + 3600 * kSecond, all(static_cast<uint64_t>(killed))));
-    for (int n = 0; n < killed; ++n) world.Start(members - 1 - n), want(members - 1 - n);
-    world.RunUntil(world.now + 3600 * kSecond, all(0));
+    for (int n = 0; n < killed; ++n) simulation.Kill(members - 1 - n);
+    after_kill.Add(
+        from, simulation.RunUntil(from + 3600 * kSecond, reaches_95_percent(static_cast<uint64_t>(killed))));
+    for (int n = 0; n < killed; ++n) simulation.Start(members - 1 - n), set_demand(members - 1 - n);
+    simulation.RunUntil(simulation.now + 3600 * kSecond, reaches_95_percent(0));
     for (int n = 0; n < members; ++n) {
-      auto& p = world.processes[static_cast<size_t>(n)];
-      if (!p.core || !p.core->IsLeader(world.Clock(p))) continue;
-      world.Kill(n);
-      world.Schedule(world.now + kSecond, [&world, want, n] { world.Start(n), want(n); });
+      auto& process = simulation.processes[static_cast<size_t>(n)];
+      if (!process.core || !process.core->IsLeader(simulation.Clock(process))) continue;
+      simulation.Kill(n);
+      simulation.Schedule(simulation.now + kSecond,
+                          [&simulation, set_demand, n] { simulation.Start(n), set_demand(n); });
       break;
     }
-    leader.values.push_back(share());
-    over += static_cast<double>(world.over);
+    after_leader_death.values.push_back(usable_share());
+    violations += static_cast<double>(simulation.violations);
   }
   std::printf("%d members, %s; all want more than there is, 8%% lost, %llu seeds\n", members, levels,
               static_cast<unsigned long long>(seeds));
-  start.Print("from a start in one instant until 95% can be used, s");
-  dead.Print("a fifth killed: until 95% of what is left can be used, s");
+  startup.Print("from a start in one instant until 95% can be used, s");
+  after_kill.Print("a fifth killed: until 95% of what is left can be used, s");
   steady.Print("of the whole that can be used, mean of a quiet minute, %", false);
-  leader.Print("likewise, the minute after the arbiter's death, back after 1 s", false);
+  after_leader_death.Print("likewise, the minute after the arbiter's death, back after 1 s", false);
   std::printf(
       "  datagrams sent a member and second %.2f, %.0f bytes beside their heads; moments past the whole "
       "%.0f\n",
-      sent / seconds / members, bytes / seconds / members, over);
+      sent / seconds / members, bytes / seconds / members, violations);
 }
 
 }  // namespace
@@ -89,20 +91,21 @@
 int main(int argc, char** argv) {
   uint64_t seeds = argc > 1 ? static_cast<uint64_t>(std::atol(argv[1])) : 10;
   for (uint16_t members : {10, 30, 100, 300, 1000, 3000}) {
-    uint64_t some = members >= 1000 ? std::min<uint64_t>(seeds, 3) : seeds;
+    uint64_t run_seeds = members >= 1000 ? std::min<uint64_t>(seeds, 3) : seeds;
     if (members <= 300)
-      Measure<World>(members, some, "one level", [&](uint64_t seed) {
-        World world(members, seed);
-        world.form = FormOf(members, 7, {kWhole});
-        world.form.request_interval =
-            std::max<Micros>(kSecond, static_cast<Micros>(members / kAsksPerS * kSecond));
-        world.form.vote_term = std::max<Micros>(12 * kSecond, 2 * world.form.LeaseTerm());
-        return world;
+      Measure<BudgetSimulation>(members, run_seeds, "one level", [&](uint64_t seed) {
+        BudgetSimulation simulation(members, seed);
+        simulation.process_settings = MakeSettings(members, 7, {kTotal});
+        simulation.process_settings.request_interval =
+            std::max<Micros>(kSecond, static_cast<Micros>(members / kLeaseRequestsPerS * kSecond));
+        simulation.process_settings.vote_term =
+            std::max<Micros>(12 * kSecond, 2 * simulation.process_settings.LeaseTerm());
+        return simulation;
       });
-    Measure<FleetWorld>(members, some, "two levels", [&](uint64_t seed) {
-      FleetWorld world(members, seed, 0);
-      world.form = FormOf(members, 0, {kWhole});
-      return world;
+    Measure<HierarchicalSimulation>(members, run_seeds, "two levels", [&](uint64_t seed) {
+      HierarchicalSimulation simulation(members, seed, 0);
+      simulation.process_settings = MakeSettings(members, 0, {kTotal});
+      return simulation;
     });
   }
 }
