--- a/tests/peer_fleet.h
+++ b/tests/peer_fleet.h
@@ -12,17 +12,18 @@
 // For each number an address at which the others find it (`peers`).
 class PeerNet {
  public:
-  explicit PeerNet(int members) : listens_(static_cast<size_t>(members), 0), sent_(listens_.size(), 0) {
-    for (int m = 0; m < members; ++m) sockets_.push_back(Open(&ports_.emplace_back()));
-    stranger_ = Open(nullptr);
-    if (pipe(ends_) != 0) ADD_FAILURE() << "pipe";
+  explicit PeerNet(int members)
+      : listen_ports_(static_cast<size_t>(members), 0), sent_counts_(listen_ports_.size(), 0) {
+    for (int m = 0; m < members; ++m) sockets_.push_back(OpenSocket(&ports_.emplace_back()));
+    unknown_sender_ = OpenSocket(nullptr);
+    if (pipe(stop_pipe_) != 0) ADD_FAILURE() << "pipe";
     thread_ = std::thread([this] { Run(); });
   }
   ~PeerNet() {
-    (void)!write(ends_[1], "x", 1);
+    (void)!write(stop_pipe_[1], "x", 1);
     thread_.join();
     for (int fd : sockets_) close(fd);
-    for (int fd : {stranger_, ends_[0], ends_[1]}) close(fd);
+    for (int fd : {unknown_sender_, stop_pipe_[0], stop_pipe_[1]}) close(fd);
   }
   json Addresses(int members) const {
     json all = json::array();
@@ -33,11 +34,11 @@
   // Where that number listens; 0: not known yet.
   int ListenPort(int m) {
     std::lock_guard lock(mutex_);
-    return listens_[static_cast<size_t>(m)];
+    return listen_ports_[static_cast<size_t>(m)];
   }
   void SetListenPort(int m, int port) {
     std::lock_guard lock(mutex_);
-    listens_[static_cast<size_t>(m)] = port;
+    listen_ports_[static_cast<size_t>(m)] = port;
   }
   void SetPasses(std::function<bool(int from, int to)> passes) {
     std::lock_guard lock(mutex_);
@@ -45,27 +46,27 @@
   }
   long SentCount() {
     std::lock_guard lock(mutex_);
-    return std::accumulate(sent_.begin(), sent_.end(), 0L);
+    return std::accumulate(sent_counts_.begin(), sent_counts_.end(), 0L);
   }
   size_t longest_datagram() {
     std::lock_guard lock(mutex_);
-    return longest_;
+    return longest_datagram_;
   }
   // A datagram that number `from` has sent, as it was on the way last.
   std::string LastDatagram(int from) {
     std::lock_guard lock(mutex_);
-    return last_[from];
+    return last_datagrams_[from];
   }
   // As if member `from` had sent it; -1: from an address that is nobody's.
   void Inject(int from, int to, const std::string& bytes) {
     sockaddr_in at;
     close(Loopback(&at, ListenPort(to)));
-    sendto(from < 0 ? stranger_ : sockets_[static_cast<size_t>(from)], bytes.data(), bytes.size(), 0,
+    sendto(from < 0 ? unknown_sender_ : sockets_[static_cast<size_t>(from)], bytes.data(), bytes.size(), 0,
            reinterpret_cast<sockaddr*>(&at), sizeof(at));
   }
 
  private:
-  static int Open(int* port) {
+  static int OpenSocket(int* port) {
     sockaddr_in at;
     close(Loopback(&at, 0));
     int fd = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
@@ -78,16 +79,16 @@
   void Run() {
     std::vector<pollfd> all;
     for (int fd : sockets_) all.push_back({fd, POLLIN, 0});
-    all.push_back({ends_[0], POLLIN, 0});
+    all.push_back({stop_pipe_[0], POLLIN, 0});
     for (;;) {
       poll(all.data(), all.size(), -1);
       if (all.back().revents != 0) return;
       for (size_t to = 0; to < sockets_.size(); ++to) {
-        if (all[to].revents != 0) Carry(static_cast<int>(to));
+        if (all[to].revents != 0) Forward(static_cast<int>(to));
       }
     }
   }
-  void Carry(int to) {
+  void Forward(int to) {
     char bytes[2048];
     sockaddr_in sender{};
     socklen_t size = sizeof(sender);
@@ -95,27 +96,27 @@
                          reinterpret_cast<sockaddr*>(&sender), &size);
     if (n < 0) return;
     std::lock_guard lock(mutex_);
-    auto at = std::find(listens_.begin(), listens_.end(), ntohs(sender.sin_port));
-    if (at == listens_.end()) return;
-    auto from = static_cast<int>(at - listens_.begin());
-    ++sent_[static_cast<size_t>(from)];
-    longest_ = std::max(longest_, static_cast<size_t>(n));
-    last_[from].assign(bytes, static_cast<size_t>(n));
-    int port = listens_[static_cast<size_t>(to)];
+    auto at = std::find(listen_ports_.begin(), listen_ports_.end(), ntohs(sender.sin_port));
+    if (at == listen_ports_.end()) return;
+    auto from = static_cast<int>(at - listen_ports_.begin());
+    ++sent_counts_[static_cast<size_t>(from)];
+    longest_datagram_ = std::max(longest_datagram_, static_cast<size_t>(n));
+    last_datagrams_[from].assign(bytes, static_cast<size_t>(n));
+    int port = listen_ports_[static_cast<size_t>(to)];
     if (port == 0 || !passes_(from, to)) return;
-    sockaddr_in there;
-    close(Loopback(&there, port));
+    sockaddr_in destination;
+    close(Loopback(&destination, port));
     sendto(sockets_[static_cast<size_t>(from)], bytes, static_cast<size_t>(n), 0,
-           reinterpret_cast<sockaddr*>(&there), sizeof(there));
+           reinterpret_cast<sockaddr*>(&destination), sizeof(destination));
   }
 
   std::vector<int> sockets_, ports_;
-  int stranger_ = -1, ends_[2] = {-1, -1};
+  int unknown_sender_ = -1, stop_pipe_[2] = {-1, -1};
   std::mutex mutex_;
-  std::vector<int> listens_;
-  std::vector<long> sent_;
-  size_t longest_ = 0;
-  std::map<int, std::string> last_;
+  std::vector<int> listen_ports_;
+  std::vector<long> sent_counts_;
+  size_t longest_datagram_ = 0;
+  std::map<int, std::string> last_datagrams_;
   std::function<bool(int, int)> passes_ = [](int, int) { return true; };
   std::thread thread_;
 };
@@ -168,24 +169,26 @@
     return json::parse(Call(process.ops_port, "GET", "/control/members").body, nullptr, false);
   }
   // What `at` believes of `m`.
-  std::string StateSeenBy(int at, int m) const {
-    json members = Members(at).value("members", json::array());
+  std::string StateSeenBy(int observer, int m) const {
+    json members = Members(observer).value("members", json::array());
     return static_cast<size_t>(m) < members.size() ? members[static_cast<size_t>(m)].at("state") : "";
   }
-  bool AllSee(const std::vector<int>& at, int m, const std::string& state) const {
-    return std::all_of(at.begin(), at.end(), [&](int one) { return StateSeenBy(one, m) == state; });
+  bool AllSee(const std::vector<int>& observers, int m, const std::string& state) const {
+    return std::all_of(observers.begin(), observers.end(),
+                       [&](int observer) { return StateSeenBy(observer, m) == state; });
   }
   // How often each has taken anyone for dead.
-  std::vector<long> DeathCounts(const std::vector<int>& at) const {
+  std::vector<long> DeathCounts(const std::vector<int>& observers) const {
     std::vector<long> all;
-    for (int one : at) all.push_back(Figure(gateways[static_cast<size_t>(one)]->ops_port, "members_deaths"));
+    for (int observer : observers)
+      all.push_back(Figure(gateways[static_cast<size_t>(observer)]->ops_port, "members_deaths"));
     return all;
   }
   // One digest, and that verdict everywhere.
-  bool Agree(const std::vector<int>& at, const std::string& verdict = "converged") const {
-    json first = Members(at[0]);
-    return std::all_of(at.begin(), at.end(), [&](int one) {
-      json view = Members(one);
+  bool Agree(const std::vector<int>& observers, const std::string& verdict = "converged") const {
+    json first = Members(observers[0]);
+    return std::all_of(observers.begin(), observers.end(), [&](int observer) {
+      json view = Members(observer);
       return view.value("verdict", "") == verdict && view.at("digest") == first.value("digest", "");
     });
   }
