--- a/tests/budget_cuts.cmake
+++ b/tests/budget_cuts.cmake
@@ -1,16 +1,16 @@
 # Planted faults in the core of budgets: the tests round a copy of it with one place changed. Each has to be named by the
 # sum that it breaks; a cut whose place is no longer found stops the configuration.
-function(budget_cut name finder file what with)
+function(budget_cut name test_filter file original replacement)
   set(sources)
   set(folder ${CMAKE_CURRENT_BINARY_DIR}/budget_cuts/${name})
   foreach(leaf ${budget_files})
     file(READ ${CMAKE_CURRENT_SOURCE_DIR}/src/budget/${leaf} text)
     if(leaf STREQUAL file)
-      string(FIND "${text}" "${what}" at)
+      string(FIND "${text}" "${original}" at)
       if(at EQUAL -1)
         message(FATAL_ERROR "cut ${name}: its place is not in src/budget/${file} any more; move it")
       endif()
-      string(REPLACE "${what}" "${with}" text "${text}")
+      string(REPLACE "${original}" "${replacement}" text "${text}")
     endif()
     file(GENERATE OUTPUT ${folder}/budget/${leaf} CONTENT "${text}")
     if(leaf MATCHES "cpp$")
@@ -23,7 +23,7 @@
   target_include_directories(budget_cut_${name} SYSTEM PRIVATE ${BOOST_INCLUDE})
   target_link_libraries(budget_cut_${name} PRIVATE GTest::gtest GTest::gtest_main)
   target_compile_options(budget_cut_${name} PRIVATE -w)
-  add_test(NAME budget_cut_${name} COMMAND budget_cut_${name} --gtest_filter=Budgets.${finder}*)
+  add_test(NAME budget_cut_${name} COMMAND budget_cut_${name} --gtest_filter=Budgets.${test_filter}*)
   set_tests_properties(budget_cut_${name} PROPERTIES TIMEOUT 300 PASS_REGULAR_EXPRESSION
                        "sum [0-9]+ of budget|seed [0-9]+: budget [0-9]+: [0-9]+ of|two arbiters")
 endfunction()
@@ -35,11 +35,11 @@
 budget_cut(lease Every budgets.cpp "Micros until = votes_.MajorityUntil();" "Micros until = now + 100 * settings_.LeaseTerm();")
 budget_cut(use Every budgets.cpp "(now < holding.until ? holding.amount : 0)" "holding.amount")
 # Between two levels.
-budget_cut(lent_on NoHistoryMakesTheSumOf budgets.cpp "if (now < holding.until && holding.sublet > entry.amount) {" "if (false) {")
-budget_cut(pool_end NoHistoryMakesTheSumOf budgets.cpp "until = std::min(until, pool_end->second);" ";")
+budget_cut(sublet RandomFaultsNeverExceedTheTotalOn budgets.cpp "if (now < holding.until && holding.sublet > entry.amount) {" "if (false) {")
+budget_cut(pool_end RandomFaultsNeverExceedTheTotalOn budgets.cpp "until = std::min(until, pool_end->second);" ";")
 # Seen by drawn histories: they need finer moments, or more words on the way at once.
-budget_cut(margin NoHistory terms.h "(1 - kMaxClockDrift) / (1 + kMaxClockDrift)" "1.0")
-budget_cut(on_the_way NoHistory division.cpp "incarnation.grants.push_back({grant.number, grant.amount, now + grant.term})"
+budget_cut(margin RandomFaultsNeverExceed terms.h "(1 - kMaxClockDrift) / (1 + kMaxClockDrift)" "1.0")
+budget_cut(in_flight RandomFaultsNeverExceed division.cpp "incarnation.grants.push_back({grant.number, grant.amount, now + grant.term})"
            "incarnation.grants = {{grant.number, grant.amount, now + grant.term}}")
-budget_cut(old_answer NoHistory budgets.cpp "if (message.round != request_round_) return void(++counts_.stale_messages)" "")
-budget_cut(from_now NoHistory budgets.cpp "Micros until = requested_at_ + GuaranteedTerm" "Micros until = now + GuaranteedTerm")
+budget_cut(stale_grant RandomFaultsNeverExceed budgets.cpp "if (message.round != request_round_) return void(++counts_.stale_messages)" "")
+budget_cut(from_receipt RandomFaultsNeverExceed budgets.cpp "Micros until = requested_at_ + GuaranteedTerm" "Micros until = now + GuaranteedTerm")
--- a/tests/budget_test.cpp
+++ b/tests/budget_test.cpp
@@ -51,7 +51,7 @@
   std::fill(partition->begin(), partition->end(), 0);
 }
 
-TEST(Budgets, NoHistoryMakesTheSumMoreThanTheWhole) {
+TEST(Budgets, RandomFaultsNeverExceedTheTotal) {
   // Sizes, voters, wholes: ample, small, and smaller than the fleet.
   const uint64_t seeds = 500;
   for (uint64_t seed = 1; seed <= seeds; ++seed) {
@@ -66,7 +66,7 @@
   }
 }
 
-TEST(Budgets, InTheQuietNearlyAllOfItCanBeUsed) {
+TEST(Budgets, NearlyAllOfTheTotalIsUsableAfterRecovery) {
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     auto count = static_cast<uint16_t>(5 + seed % 26);
     BudgetSimulation simulation(count, seed);
@@ -106,7 +106,7 @@
 }
 
 // The same on two levels: groups of two to six, some of them short of members.
-TEST(Budgets, NoHistoryMakesTheSumOfTwoLevelsMoreThanTheWhole) {
+TEST(Budgets, RandomFaultsNeverExceedTheTotalOnTwoLevels) {
   for (uint64_t seed = 1; seed <= 300; ++seed) {
     auto count = static_cast<uint16_t>(7 + seed % 14);
     HierarchicalSimulation simulation(count, seed, static_cast<uint16_t>(2 + seed % 5));
@@ -128,7 +128,7 @@
   }
 }
 
-TEST(Budgets, TheCutOffKeepTheirFloorsAndNoMore) {
+TEST(Budgets, APartitionedMinorityKeepsOnlyItsFloors) {
   BudgetSimulation simulation(10, 3);
   simulation.process_settings = MakeSettings(10, 5, {1000});
   simulation.StartAll();
@@ -152,7 +152,7 @@
   EXPECT_EQ(simulation.violations, 0u) << simulation.first_violation;
 }
 
-TEST(Budgets, SharesGoByDemandAndSmallWholesWander) {
+TEST(Budgets, SharesFollowDemandAndScarceGrainsRotate) {
   BudgetSimulation simulation(10, 4);
   simulation.process_settings = MakeSettings(10, 3, {1000, 2});
   simulation.loss_share = 0;
@@ -191,7 +191,7 @@
 }
 
 // Datagrams of a sender that is wrong about itself, or no datagrams at all.
-TEST(Budgets, BadInputIsNoPart) {
+TEST(Budgets, InvalidMessagesGrantNothing) {
   std::mt19937_64 random(1);
   Message valid;
   valid.kind = Kind::kGrant, valid.entries = {{1, 2, 3}, {4, 5, 6}}, valid.term = 5000;
@@ -232,7 +232,7 @@
   EXPECT_EQ(Budgets(invalid, 0).Usable(0, 1), 0u);
 }
 
-TEST(Budgets, AWordThatComesLateTakesNoNewerVoteBack) {
+TEST(Budgets, AStaleReleaseDoesNotRevokeANewerVote) {
   Voter voter(0, 10);
   const Candidate one{1, 7}, other{2, 8};
   EXPECT_FALSE(voter.RequestVote(9, one, 1));  // an earlier life may have promised its vote
@@ -439,7 +439,7 @@
   std::vector<size_t> actors_;  // act by themselves
 };
 
-TEST(Budgets, EveryOrderOfASmallFleetKeepsTheSum) {
+TEST(Budgets, EveryOrderOfEventsKeepsTheTotal) {
   ExhaustiveSearch search;
   search.Explore(60'000);
   EXPECT_EQ(search.violation, "");
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -17,7 +17,7 @@
   return message;
 }
 
-TEST(MembershipMessage, ReadsBackWhatWasWritten) {
+TEST(MembershipMessage, DecodesWhatWasEncoded) {
   DecodeError error = DecodeError::kNone;
   auto decoded = Decode(Encode(FullMessage()), 10, &error);
   ASSERT_TRUE(decoded) << Name(error);
@@ -33,7 +33,7 @@
 }
 
 // The form by hand, as a second reader would have it from docs/MEMBERSHIP.md: any change of it is seen here.
-TEST(MembershipMessage, TheFormIsAsWrittenDown) {
+TEST(MembershipMessage, EncodingMatchesTheDocumentedBytes) {
   Message ping;
   ping.from = 3, ping.target = 7, ping.sequence = 0x01020304, ping.digest = 0x1122334455667788;
   ping.updates = {{5, State::kSuspect, 2, 9, {0xa1a2a3a4, 0xb1b2b3b4}}};
@@ -49,7 +49,7 @@
   EXPECT_EQ(Decode(bytes, 8, &error)->updates, ping.updates);
 }
 
-TEST(MembershipMessage, WhatANewerVersionAddsIsSkipped) {
+TEST(MembershipMessage, UnknownSectionsAreSkipped) {
   std::vector<uint8_t> bytes = Encode(FullMessage());
   for (uint8_t byte : {uint8_t{200}, uint8_t{3}, uint8_t{1}, uint8_t{2}, uint8_t{3}}) bytes.push_back(byte);
   DecodeError error = DecodeError::kNone;
@@ -58,7 +58,7 @@
   EXPECT_EQ(decoded->updates, FullMessage().updates);
 }
 
-TEST(MembershipMessage, EachFaultIsNamedAndNoNoiseHarms) {
+TEST(MembershipMessage, MalformedInputIsRejectedWithItsReason) {
   const std::vector<uint8_t> valid = Encode(FullMessage());
   auto with_byte = [&](size_t at, uint8_t value) {
     std::vector<uint8_t> bytes = valid;
@@ -96,7 +96,7 @@
 }
 
 // Hostile and stale datagrams to one member: dropped and counted, and the view stays as it is.
-TEST(Membership, NeitherStrangersNorReplaysNorNoiseMoveAView) {
+TEST(Membership, UnknownSendersReplaysAndNoiseLeaveTheViewUnchanged) {
   SimulatedNetwork net(5, 1);
   net.StartAll();
   net.Run(20 * kSecond);
@@ -139,7 +139,7 @@
 constexpr size_t kMembers = 40;
 constexpr Micros kConvergenceBound = 60 * kSecond;
 
-TEST(Membership, ADeathIsKnownToAllAndNobodyElseDies) {
+TEST(Membership, ADeathIsKnownToAllWithoutFalseDeaths) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
     ConvergedFleet fleet(kMembers, seed);
     EXPECT_TRUE(fleet.net.DigestsAgree()) << seed;
@@ -154,7 +154,7 @@
   }
 }
 
-TEST(Membership, AReturnWithoutMemoryGetsAboveWhatIsBelieved) {
+TEST(Membership, ARestartedMemberOverridesItsEarlierState) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
     ConvergedFleet fleet(kMembers, seed);
     fleet.net.Kill(7);
@@ -180,7 +180,7 @@
   }
 }
 
-TEST(Membership, APlannedLeaveIsNeverADeath) {
+TEST(Membership, APlannedLeaveIsNotTakenForADeath) {
   ConvergedFleet fleet(kMembers, 3);
   fleet.net.Execute(7, [&](Actions* out) { fleet.net.members[7].core->Leave(fleet.net.now, out); });
   fleet.net.Schedule(fleet.net.now + kSecond, [&] { fleet.net.Kill(7); });
@@ -190,7 +190,7 @@
   EXPECT_TRUE(fleet.deaths.empty());
 }
 
-TEST(Membership, AReturnFromALeaveIsKnownAndWhoeverLeftSeesTheFleet) {
+TEST(Membership, AMemberThatLeftSeesTheFleetAndRejoins) {
   ConvergedFleet fleet(kMembers, 6);
   Membership& leaver = *fleet.net.members[7].core;
   fleet.net.Execute(7, [&](Actions* out) { leaver.Leave(fleet.net.now, out); });
@@ -210,7 +210,7 @@
 }
 
 // A list that grows and shrinks at one member before the others: nobody dies of it, and one view follows.
-TEST(Membership, ListsOfPeersMayDifferForAWhile) {
+TEST(Membership, PeerListsMayDifferDuringAReload) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
     ConvergedFleet fleet(12, seed);
     fleet.net.Kill(11);
@@ -231,7 +231,7 @@
 }
 
 // One that floods us has no more than half of our pace; one that speaks with our number leaves us cut off.
-TEST(Membership, AFloodLeavesTheOthersTheirAnswersAndAClaimIsNamed) {
+TEST(Membership, AFloodDoesNotStarveOtherPeersAndImpersonationIsDetected) {
   SimulatedNetwork net(5, 1);
   net.StartAll();
   net.Run(20 * kSecond);
@@ -261,7 +261,7 @@
   EXPECT_FALSE(core.Status(net.now).Usable());
 }
 
-TEST(Membership, ARestartOfAllATenthAtATimeIsNoDeath) {
+TEST(Membership, ARollingRestartCausesNoDeaths) {
   for (uint64_t seed = 1; seed <= 3; ++seed) {
     ConvergedFleet fleet(kMembers, seed);
     for (int wave = 0; wave < 10; ++wave) {
@@ -288,7 +288,7 @@
   }
 }
 
-TEST(Membership, AStopOfSecondsAccusesNobodyAndIsRefuted) {
+TEST(Membership, APauseOfSecondsCausesNoDeaths) {
   ConvergedFleet fleet(kMembers, 4);
   for (int m : {1, 2, 3}) fleet.net.Pause(m);
   fleet.net.Run(fleet.net.now + 2 * kSecond);
@@ -299,7 +299,7 @@
   EXPECT_GE(fleet.net.members[1].core->counts().stalls, 1u);
 }
 
-TEST(Membership, ACutAndItsHealAndTheFewWhoAreAlone) {
+TEST(Membership, APartitionIsDetectedByTheMinorityAndHeals) {
   ConvergedFleet fleet(kMembers, 5);
   // A fifth of the fleet is cut off; then a one-way cut; then all is well.
   fleet.net.passes = [](int from, int to) { return (from < 8) == (to < 8); };
@@ -326,7 +326,7 @@
 
 // From any history of kills, cuts, stops and restarts: once it is quiet, one digest, and nobody over the
 // pace.
-TEST(Membership, AfterAnyHistoryAllComeToOneViewInTheQuiet) {
+TEST(Membership, ViewsConvergeAfterRandomFaults) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     SimulatedNetwork net(24, seed);
     net.StartAll();
@@ -370,7 +370,7 @@
   }
 }
 
-TEST(Membership, TheSameSeedIsTheSameHistory) {
+TEST(Membership, TheSameSeedReplaysTheSameRun) {
   auto run = [](uint64_t seed) {
     ConvergedFleet fleet(12, seed);
     fleet.net.Kill(3);
