--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -1,4 +1,4 @@
-// Merges the updates of other members into the view, and gossips the view's.
+// Handles messages: merges the updates of other members into the view and gossips its own.
 #include "membership/membership.h"
 
 #include <algorithm>
@@ -8,14 +8,14 @@
 namespace lemonchute::membership {
 namespace {
 
-// Average cost of a period at each member: ping and ack in both directions, indirect probes, and a digest
+// Average datagrams per member and period: ping and ack in both directions, indirect probes and a digest
 // exchange.
 constexpr double kMessagesPerPeriod = 6;
-constexpr int kGossipFactor = 4;   // each update is sent so many times the logarithm of the fleet's size
-constexpr size_t kMaxRelays = 32;  // pings in flight for other members
-// A sender is heard up to this share of our rate, so that at least half is left for the others.
+constexpr int kGossipFactor = 4;   // transmissions of an update, in units of log10 of the fleet's size
+constexpr size_t kMaxRelays = 32;  // pings in flight on behalf of other members
+// The share of this member's rate that one sender may use; at least half is left for the others.
 constexpr double kMaxSenderShare = 0.5;
-constexpr uint32_t kEntriesRequest = 1, kEntriesAnswer = 2;  // sequence of a kEntries message
+constexpr uint32_t kEntriesRequest = 1, kEntriesAnswer = 2;  // `sequence` of a kEntries message
 
 }  // namespace
 
@@ -29,7 +29,7 @@
       peer_records_(settings.member_count),
       tokens_(RatePerS()),
       tokens_at_(now) {
-  // Members that start in one instant don't probe in one.
+  // A random phase, so that members that start at the same time don't probe at the same time.
   next_period_ = now + static_cast<Micros>(RandomBelow(static_cast<size_t>(period_)));
   view_.Merge({settings.self, State::kAlive, settings.self, 1, settings.version}, now);
 }
@@ -57,7 +57,7 @@
   if (update.member == settings_.self) {
     const Entry& self = view_.At(settings_.self);
     bool accused = update.state != State::kAlive && update.incarnation >= self.incarnation;
-    // A previous incarnation, or another process that uses this member's number.
+    // An earlier run of this member, or another process that uses its number.
     bool conflicting = update.incarnation > self.incarnation ||
                        (update.incarnation == self.incarnation && update.version != self.version);
     if (update.state == State::kSuspect && accused) health_ = std::min(kMaxHealth, health_ + 1);
@@ -76,7 +76,7 @@
   if (update.state != State::kSuspect || update.incarnation != after.incarnation) return;
   auto [suspicion, inserted] = suspicions_.try_emplace(update.member, Suspicion{now, {}, 0});
   if (newer) suspicion->second = {now, {}, 0};
-  // Each of the first confirmations is gossiped, since it shortens the suspicion.
+  // The first confirmations are gossiped too, since each shortens the suspicion.
   bool confirms = suspicion->second.reporters.size() <= kMaxConfirmations &&
                   suspicion->second.reporters.insert(update.reporter).second;
   if (confirms && !newer) view_.Confirm(update.member, update.reporter);
@@ -120,7 +120,7 @@
     return;
   }
   ++counts_.received;
-  // Peer lists may differ for a while during a reload, so updates about unknown members are dropped.
+  // Peer lists may differ during a reload, so updates about unknown members are dropped.
   counts_.unknown_members += std::erase_if(message.updates, [&](const Update& u) {
     return u.member >= settings_.member_count || u.reporter >= settings_.member_count;
   });
@@ -146,7 +146,7 @@
   }
 }
 
-// The ack carries what is newer here than the ping's updates.
+// The ack carries the entries that are newer here than the ping's updates.
 void Membership::HandlePing(Micros now, const Message& ping, Actions* out) {
   Message ack;
   ack.kind = Kind::kAck;
@@ -161,7 +161,7 @@
   SendDigests(now, ping.from, ping.digest, out);
 }
 
-// An indirect probe: pings the target in the requester's place.
+// An indirect probe: pings the target on behalf of the requester.
 void Membership::HandlePingRequest(Micros now, const Message& request, Actions* out) {
   if (relays_.size() >= kMaxRelays || request.target == settings_.self) return;
   Message ping;
@@ -170,7 +170,7 @@
   relays_.push_back({request.from, request.target, sequence_, request.sequence, now + period_ * 2 / 5});
 }
 
-// Answers with the entries that are different here. An answer itself is not answered.
+// Answers a request with the entries that differ here. Answers are not answered.
 void Membership::HandleEntries(Micros now, const Message& entries, Actions* out) {
   if (entries.sequence != kEntriesRequest) return;
   Message answer;
@@ -192,7 +192,7 @@
   if (Send(now, peer, std::move(digests), out)) ++counts_.repairs;
 }
 
-// Sends entries of one part that differs, from a random offset, so that several rounds cover the part.
+// Sends entries of one differing part, starting at a random offset so that repeated rounds cover the part.
 void Membership::HandleDigests(Micros now, const Message& message, Actions* out) {
   if (message.part_digests.empty()) return;
   size_t first = RandomBelow(kViewParts);
@@ -214,7 +214,7 @@
 }
 
 bool Membership::Send(Micros now, uint16_t to, Message message, Actions* out) {
-  // Every sender keeps to its rate, so no member receives more than that on average.
+  // Every member limits what it sends, so that on average none receives more than that rate.
   tokens_ = std::min(RatePerS(), tokens_ + RatePerS() * 1e-6 * static_cast<double>(now - tokens_at_));
   tokens_at_ = now;
   if (tokens_ < 1) {
@@ -224,8 +224,8 @@
   tokens_ -= 1;
   message.from = settings_.self;
   message.digest = view_.digest();
-  // Always our own state, and the receiver's where it is suspected, so that it can refute (Lifeguard's buddy
-  // system).
+  // Always includes our own state, and the receiver's unless it is alive, so that it can refute (Lifeguard's
+  // buddy system).
   message.updates.insert(message.updates.begin(), view_.UpdateFor(settings_.self));
   if (view_.At(to).state != State::kAlive)
     message.updates.insert(message.updates.begin() + 1, view_.UpdateFor(to));
@@ -274,7 +274,7 @@
 void Membership::SetVersion(Micros now, const SoftwareVersion& version) {
   if (settings_.version == version) return;
   settings_.version = version;
-  if (has_left_) return;  // said on its return
+  if (has_left_) return;  // announced by Rejoin
   Update self = view_.UpdateFor(settings_.self);
   self.version = version;
   self.incarnation = std::min(kMaxIncarnation, self.incarnation + 1);
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,19 +1,19 @@
-// One member's part of the fleet's membership protocol: SWIM (Das, Gupta, Motivala, "SWIM: Scalable
-// Weakly-consistent Infection-style Process Group Membership Protocol", 2002) with Lifeguard's three
-// additions (Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More Accurate Failure
-// Detection", 2018). Events and monotonic time go in, datagrams and changes come out: no sockets, clocks or
-// threads.
-//
-// Differences from the papers:
-// - The list of members is configured (`peers`), so there is no join message. Members that have not been
-//   heard of yet are presumed alive at incarnation 0.
-// - Dead members are pinged now and then, so that the two sides of a partition find each other again.
-// - Views are compared by digests on every ping and ack and repaired in parts, in place of a full state
-//   exchange over TCP.
-// - Before a suspicion ends, peers are asked for their view of the suspect, which brings refutations that
-//   gossip has not delivered.
-// - A member that was stalled (stopped, starved) drops its pending probe and extends its suspicions by the
-//   time that it was away.
+/// The membership protocol of the fleet, as run by one member: SWIM (Das, Gupta, Motivala, "SWIM: Scalable
+/// Weakly-consistent Infection-style Process Group Membership Protocol", 2002) with Lifeguard's three
+/// extensions (Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More Accurate Failure
+/// Detection", 2018). Takes events and monotonic time, returns datagrams and state changes; uses no sockets,
+/// clocks or threads.
+///
+/// Differences from the papers:
+/// - The member list is configured (`peers`), so there is no join message. Members without any news yet are
+///   presumed alive at incarnation 0.
+/// - Dead members are pinged occasionally, so that the two sides of a healed partition find each other again.
+/// - Views are compared by a digest on every ping and ack and repaired in parts, instead of by a full state
+///   exchange over TCP.
+/// - Before a suspicion times out, peers are queried about the suspect, which fetches refutations that gossip
+///   has not delivered.
+/// - A member that was stalled (stopped by a signal, starved of CPU) drops its pending probe and extends its
+///   suspicions by the duration of the stall.
 #ifndef LEMONCHUTE_MEMBERSHIP_MEMBERSHIP_H_
 #define LEMONCHUTE_MEMBERSHIP_MEMBERSHIP_H_
 
@@ -27,92 +27,102 @@
 
 namespace lemonchute::membership {
 
+/// The parameters of one member.
 struct Settings {
   uint16_t self = 0;
-  size_t member_count = 0;          // numbers are 0 to members - 1
-  uint64_t seed = 0;                // new with each start
-  SoftwareVersion version;          // what this member runs
-  double receive_limit_per_s = 60;  // datagrams that a member takes in a second (specifics.peer-in-per-s)
-  double rate_share = 0.25;         // of these, that membership may come to on average
+  size_t member_count = 0;          ///< Members are numbered from 0 to member_count - 1.
+  uint64_t seed = 0;                ///< Different on each start.
+  SoftwareVersion version;          ///< What this member runs.
+  double receive_limit_per_s = 60;  ///< Datagrams a member accepts (specifics.peer-in-per-s).
+  double rate_share = 0.25;         ///< The average part of that limit that membership may use.
 };
 
+/// A datagram to be sent to another member.
 struct Datagram {
   uint16_t to = 0;
   std::vector<uint8_t> bytes;
 };
+/// A change of a member's state in this member's view.
 struct Change {
   uint16_t member = 0;
   State previous = State::kAlive, current = State::kAlive;
   uint32_t incarnation = 0;
-  uint16_t reporter = 0;
+  uint16_t reporter = 0;  ///< The member whose report caused it.
 };
+/// What an event asks the caller to do.
 struct Actions {
   std::vector<Datagram> send;
   std::vector<Change> changes;
 };
 
-// How far a view may be believed.
+/// How far this member's view of the fleet can be trusted.
 enum class Verdict {
-  kUnknown,    // just started: too little has been heard
-  kCutOff,     // no more than half of the fleet is heard of: we may be the ones that are alone
-  kDiverged,   // who was heard lately believes something else
-  kConverged,  // 95 in 100 of those heard lately believe the same
+  kUnknown,    ///< Just started: too few members have been heard of.
+  kCutOff,     ///< At most half of the fleet is heard of, or nobody was heard recently. Set as well
+               ///< while another process uses this member's number.
+  kDiverged,   ///< Fewer than 95% of the members heard recently have the same view.
+  kConverged,  ///< At least 95% of the members heard recently have the same view.
 };
 const char* Name(Verdict verdict);
 
-// Datagrams sent and heard; probes, indirect probes and probes that failed; own refutations; sends dropped to
-// keep our own rate (paced); digest exchanges begun (repairs).
+/// Event counts since the start. `rate_limited` counts sends dropped to keep this member's own rate,
+/// `repairs` the digest exchanges that it started.
 struct Counts {
   uint64_t sent = 0, received = 0, probes = 0, indirect_probes = 0, failed_probes = 0, refutations = 0,
            rate_limited = 0, repairs = 0;
-  uint64_t stalls = 0;                  // stalls of this member (RecoverFromStall)
-  std::array<uint64_t, 7> malformed{};  // by Fault
-  uint64_t unknown_senders = 0,
-           sender_mismatches = 0;  // from no peer's address; a number that is not that address's
-  uint64_t over_sender_rate = 0;   // beyond what an honest sender may send
-  uint64_t unknown_members = 0;    // words on numbers that our list of peers does not have
-  uint64_t impersonations = 0;     // from our own address, with our own number, and not by us
+  uint64_t stalls = 0;                  ///< Stalls of this process (RecoverFromStall).
+  std::array<uint64_t, 7> malformed{};  ///< Rejected datagrams, indexed by DecodeError.
+  /// Datagrams from an address that is no peer's; datagrams whose number is not that of their address.
+  uint64_t unknown_senders = 0, sender_mismatches = 0;
+  uint64_t over_sender_rate = 0;  ///< Datagrams beyond the rate that a sender may keep.
+  uint64_t unknown_members = 0;   ///< Updates about numbers that are not in our peer list.
+  uint64_t impersonations = 0;    ///< Datagrams with our number from our address, sent by another process.
 };
 
-// What a consumer may know of the fleet, and how old that is. A stated rule goes with it: membership alone
-// never widens a quota, a ceiling or a cold backend's budget, and where it is not Usable() a consumer behaves
-// as with membership off.
+/// What a consumer may know of the fleet, and how old that knowledge is. Consumers follow one rule:
+/// membership alone never raises a quota, a ceiling or a cold backend's budget, and unless Usable() holds a
+/// consumer behaves as if membership were off.
 struct FleetStatus {
   Verdict verdict = Verdict::kUnknown;
-  Micros since_received = 0;  // since any other was last heard; since the start where none was
-  double agreement = 0;       // of the members heard lately, the share whose views are the same as ours
-  size_t present = 0;         // alive or suspect, ourselves included
+  /// Time since another member's datagram last arrived, or since the start if none did.
+  Micros since_received = 0;
+  double agreement = 0;  ///< Share of the members heard recently whose views equal ours.
+  size_t present = 0;    ///< Members alive or suspect, this one included.
   bool Usable() const { return verdict == Verdict::kConverged || verdict == Verdict::kDiverged; }
 };
 
+/// One member of the fleet: its view, its failure detector and its gossip. Not thread-safe.
 class Membership {
  public:
   Membership(const Settings& settings, Micros now);
 
-  // A datagram from the address of peer `from`; -1: of none.
+  /// Handles a datagram.
+  /// @param from the peer at the datagram's source address; -1 if the address is no peer's.
   void OnDatagram(Micros now, int from, std::span<const uint8_t> bytes, Actions* out);
-  // Has to be called at NextAt() or later; earlier calls do nothing.
+  /// Runs what is due. Has to be called at NextTickAt() or later; earlier calls do nothing.
   void Tick(Micros now, Actions* out);
   Micros NextTickAt() const;
-  // Planned: the others are told *left* and ask it no more; it goes on asking, so that it sees the fleet.
+  /// Announces a planned leave: the others mark this member as left and stop probing it. It continues to
+  /// probe, so that its own view stays current.
   void Leave(Micros now, Actions* out);
-  // Back from a planned leave, under a new incarnation.
+  /// Returns from a planned leave, under a new incarnation.
   void Rejoin(Micros now);
-  // Another list of peers: numbers from `members` on are forgotten, new ones presumed alive. `self` stays
-  // below it.
+  /// Applies a new length of the peer list: removed members are forgotten, new ones presumed alive.
+  /// @param member_count is above `self`.
   void Resize(Micros now, size_t member_count);
-  // What it runs has changed: a new incarnation says so.
+  /// Announces what this member runs from now on, under a new incarnation.
   void SetVersion(Micros now, const SoftwareVersion& version);
 
   const View& view() const { return view_; }
   Verdict ComputeVerdict(Micros now) const;
   FleetStatus Status(Micros now) const;
-  // When that member's last datagram came; -1: none has.
+  /// @return when the member's last datagram arrived, or -1 if none did.
   Micros LastReceivedAt(size_t member) const { return peer_records_[member].received_at; }
   const Counts& counts() const { return counts_; }
-  int health() const { return health_; }  // 0: well; each step slows its probes by one period
+  /// Lifeguard's local health: 0 is healthy; each step above lengthens the probe interval by one period.
+  int health() const { return health_; }
   Micros period() const { return period_; }
-  // From the first suspicion of a member that is dead to its death in this view: the least and the most.
+  /// Bounds of the time from a suspicion to the member's death in this view.
   Micros MinSuspicionTimeout() const;
   Micros MaxSuspicionTimeout() const;
 
@@ -127,24 +137,26 @@
   struct Suspicion {
     Micros since = 0;
     std::set<uint16_t> reporters;
-    int queries = 0;  // of others, before the end
+    int queries = 0;  // of peers, before the timeout
   };
-  struct Relay {  // a ping in place of the requester
+  // A ping sent on behalf of the requester.
+  struct Relay {
     uint16_t requester = 0, target = 0;
     uint32_t sequence = 0, requester_sequence = 0;
     Micros nack_at = 0;
   };
-  struct PeerRecord {  // what was received from a member
+  // What was received from a member.
+  struct PeerRecord {
     Micros received_at = -1;
     uint64_t digest = 0;
-    double tokens = 0;  // datagrams that it may still send us
+    double tokens = 0;  // datagrams that it may still send
     Micros tokens_at = 0;
   };
 
-  static constexpr int kMaxHealth = 8;            // S of Lifeguard
-  static constexpr size_t kMaxConfirmations = 3;  // K of Lifeguard
+  static constexpr int kMaxHealth = 8;            // S in Lifeguard
+  static constexpr size_t kMaxConfirmations = 3;  // K in Lifeguard
 
-  // Messages and state merging.
+  // Message handling and merging of updates (membership.cpp), failure detection (probing.cpp).
   void HandleMessage(Micros now, const Message& message, Actions* out);
   void HandlePing(Micros now, const Message& ping, Actions* out);
   void HandlePingRequest(Micros now, const Message& request, Actions* out);
--- a/src/membership/message.cpp
+++ b/src/membership/message.cpp
@@ -1,4 +1,4 @@
-// The head: "LM", the format's version, the kind, from, target, sequence, digest: 20 bytes.
+// The header, 20 bytes: "LM", format version, kind, from, target, sequence, digest.
 #include "membership/message.h"
 
 #include <algorithm>
@@ -22,7 +22,7 @@
   std::vector<uint8_t> bytes;
 };
 
-// The caller has checked that the bytes are there.
+// Callers have to check that enough bytes remain.
 class Reader {
  public:
   explicit Reader(std::span<const uint8_t> bytes) : remaining(bytes) {}
--- a/src/membership/probing.cpp
+++ b/src/membership/probing.cpp
@@ -1,5 +1,5 @@
-// Failure detection: a ping at a period's start, indirect probes at its half, a suspicion at its end, and
-// the suspicions' timeouts.
+// Failure detection: a ping at the start of a period, indirect probes at its half, a suspicion at its end,
+// and the timeouts of suspicions.
 #include <algorithm>
 #include <cmath>
 
@@ -8,14 +8,15 @@
 namespace lemonchute::membership {
 namespace {
 
-constexpr size_t kIndirectProbes = 3;  // k in the papers
-// The shortest suspicion in units of log(n) periods, and the longest in units of the shortest (Lifeguard).
+constexpr size_t kIndirectProbes = 3;  // k in SWIM and Lifeguard
+// Lifeguard's alpha and beta: the minimum suspicion timeout in units of log10(n) periods, and the maximum in
+// units of the minimum.
 constexpr double kSuspicionAlpha = 4, kSuspicionBeta = 6;
-constexpr Micros kStallFraction = 4;  // a tick that is late by more than 1/4 of a period is a stall
-// Peers are asked about a suspect at half of the suspicion, and twice more after half of the time that is
-// left. The suspect itself is not asked: in a large fleet all members would ask it within a second.
+constexpr Micros kStallFraction = 4;  // a tick late by more than 1/4 of a period is a stall
+// Peers are queried about a suspect at half of the suspicion, and twice more at half of the remaining time.
+// The suspect itself is not queried: in a large fleet all members would query it within a second.
 constexpr int kMaxSuspicionQueries = 3;
-constexpr size_t kDeadProbePeriods = 4;  // a dead member is pinged in one of so many periods
+constexpr size_t kDeadProbePeriods = 4;  // a dead member is pinged in one of 4 periods, on average
 
 double LogFleetSize(size_t members) { return std::max(1.0, std::log10(static_cast<double>(members))); }
 
@@ -80,7 +81,7 @@
   }
 }
 
-// This process was stopped or starved. Answers that it waits for may be unread, so they accuse nobody.
+// This process was stopped or starved. Awaited answers may still be unread, so their absence proves nothing.
 void Membership::RecoverFromStall(Micros now, Micros lateness) {
   ++counts_.stalls;
   health_ = std::min(kMaxHealth, health_ + 1);
@@ -106,7 +107,7 @@
   }
 }
 
-// One ping to a random peer with all the suspicions that are due; the ack brings what is newer there.
+// Sends one ping with all suspicions that are due to a random peer; its ack carries what is newer there.
 void Membership::QueryAboutSuspects(Micros now, Actions* out) {
   Message ping;
   for (auto& [member, suspicion] : suspicions_) {
@@ -122,7 +123,7 @@
 }
 
 // Randomized round robin: each round probes every member once, in a new order.
-// @return -1 where nobody else is present.
+// @return -1 if no other member is present.
 int Membership::NextProbeTarget() {
   for (size_t checked = 0; checked <= settings_.member_count; ++checked) {
     if (next_target_ >= probe_order_.size()) {
@@ -195,7 +196,7 @@
   if (!probe_.in_flight) return;
   probe_.in_flight = false;
   ++counts_.failed_probes;
-  // Lifeguard's local health: helpers that sent no nack either suggest that this member is at fault.
+  // Lifeguard's local health: missing nacks of the helpers suggest that this member itself is at fault.
   health_ = std::min(kMaxHealth, health_ + probe_.nacks_outstanding);
   Suspect(now, probe_.target, out);
 }
--- a/src/membership/status.cpp
+++ b/src/membership/status.cpp
@@ -1,4 +1,4 @@
-// How far the view may be trusted.
+// How far the view can be trusted.
 #include <algorithm>
 
 #include "membership/membership.h"
@@ -53,7 +53,7 @@
     heard_recently |=
         peer_records_[m].received_at >= 0 && peer_records_[m].received_at + kRecentPeriods * period_ >= now;
   }
-  // Another process uses this member's number, so the others listen to that one.
+  // Another process uses this member's number, so the others hear that process instead.
   if (impersonated_at_ >= 0 && impersonated_at_ + kRecentPeriods * period_ >= now) return Verdict::kCutOff;
   if (expected <= 1) return Verdict::kConverged;
   bool minority = known * 2 <= expected || !heard_recently;
--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -1,4 +1,4 @@
-// Digests are sums of a hash of each entry, so that one entry's change is two additions.
+// A digest is the sum of the hashes of its entries, so that a changed entry costs two additions.
 #include "membership/view.h"
 
 #include <algorithm>
@@ -6,7 +6,7 @@
 namespace lemonchute::membership {
 namespace {
 
-// The finalizer of splitmix64 (Steele, Lea, Flood 2014): every bit of the input moves every bit of the
+// The finalizer of splitmix64 (Steele, Lea, Flood 2014): every bit of the input affects every bit of the
 // result.
 uint64_t Mix(uint64_t x) {
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
