--- a/src/budget/budgets.cpp
+++ b/src/budget/budgets.cpp
@@ -5,9 +5,9 @@
 namespace lemonchute::budget {
 namespace {
 
-// A holder that has missed so many requests has no demand any more.
+// The demand of a holder expires after so many request intervals without a request.
 constexpr int kDemandIntervals = 4;
-// A demand that changes by no more than 1/8 keeps its old value, since every change moves all shares.
+// A demand that changes by at most 1/8 keeps its old value, since every change alters all shares.
 constexpr uint32_t kHysteresis = 8;
 
 }  // namespace
@@ -80,7 +80,7 @@
   return it == divisions_.end() ? 0 : it->second.Outstanding(now);
 }
 
-// Budgets without demand and lease send no requests.
+// A budget without demand and lease needs no request.
 bool Budgets::NeedsRequest(const Holding& holding, Micros now) const {
   return holding.demand > 0 || (holding.amount > 0 && now < holding.until);
 }
@@ -126,7 +126,7 @@
   if (campaigning_ && !IsLeader(now)) BackOff(now, settings_.VoteRenewalInterval(), out);
 }
 
-// Releases the votes, so that another candidate need not wait until they expire.
+// Releases the votes, so that another candidate does not have to wait until they expire.
 void Budgets::BackOff(Micros now, Micros wait, OutgoingMessages* out) {
   Message release;
   release.kind = Kind::kRelease, release.incarnation = settings_.incarnation, release.round = votes_.round();
@@ -149,7 +149,7 @@
   for (auto& [id, holding] : holdings_) {
     if (now >= holding.until) holding.amount = 0;
     if (!NeedsRequest(holding, now)) continue;
-    // Leases of another leader expire before this one may grant any.
+    // All unexpired leases are of one leader: leases of an earlier one expire before the next may grant any.
     if (now < holding.until) leader_incarnation = holding.leader_incarnation;
     request.entries.push_back({id, holding.demand, now < holding.until ? holding.grant_number : 0});
   }
@@ -213,7 +213,7 @@
 void Budgets::OnVoteDenied(Micros now, const Message& message, OutgoingMessages* out) {
   if (message.incarnation != settings_.incarnation || message.round != votes_.round() || !campaigning_)
     return;
-  // Enough denials that no majority is left: waits for the term that the voter named.
+  // With this many denials no majority is left: backs off for the term that the voter named.
   if (static_cast<size_t>(++denials_) * 2 < settings_.voters.size()) return;
   BackOff(now, std::min(message.term, settings_.vote_term), out);
 }
@@ -258,7 +258,7 @@
 }
 
 void Budgets::OnGrant(Micros now, const Message& message) {
-  // The leader does not count answers to older requests any more.
+  // The leader no longer accounts for its answers to older requests.
   if (message.round != request_round_) return void(++counts_.stale_messages);
   answered_ = true;
   ++counts_.grants_received;
@@ -272,7 +272,8 @@
     }
     Holding& holding = it->second;
     if (now < holding.until && holding.sublet > entry.amount) {
-      // More is sublet than the new grant covers: keeps the old grant, and sublets no more than will be left.
+      // More is sublet than the new grant covers: keeps the old grant, but limits further subletting to the
+      // new amount.
       holding.recall_limit = entry.amount;
       continue;
     }
@@ -284,7 +285,7 @@
 
 void Budgets::Leave(Micros now, OutgoingMessages* out) {
   if (has_left_) return;
-  // Returns the leases at once, by a request without demand.
+  // A request without demand returns the leases at once.
   for (auto& [id, holding] : holdings_) holding.demand = 0;
   bool holds_lease = std::any_of(holdings_.begin(), holdings_.end(), [&](const auto& one) {
     return one.second.amount > 0 && now < one.second.until;
--- a/src/budget/budgets.h
+++ b/src/budget/budgets.h
@@ -1,9 +1,10 @@
-// One process's side of the fleet's budgets: its leases, its vote if it is a voter, and the division if it is
-// the leader. Events and monotonic time go in, messages come out: no sockets, clocks or threads.
-//
-// Invariant, for any order of events: the leases that all processes may use, including those of dead and
-// stopped processes until they expire, sum to no more than the budget's total. Assumptions: clocks drift by
-// at most kDrift, and of the processes of one member at most one uses its floor (docs/BUDGETS.md).
+/// One process's part in the fleet-wide budgets: its leases, its vote if it is a voter, and the division of
+/// the budgets if it is the leader. Takes events and monotonic time, returns messages; uses no sockets,
+/// clocks or threads.
+///
+/// Invariant, for any order of events: the floors and leases that all processes may use, including those of
+/// dead and stopped processes until they expire, sum to no more than the budget's total. Assumptions: clocks
+/// drift by at most kMaxClockDrift, and at most one of a member's processes uses its floor (docs/BUDGETS.md).
 #ifndef LEMONCHUTE_BUDGET_BUDGETS_H_
 #define LEMONCHUTE_BUDGET_BUDGETS_H_
 
@@ -15,27 +16,30 @@
 
 namespace lemonchute::budget {
 
+/// A message to be sent.
 struct Outgoing {
   uint16_t to = 0;
   Message message;
 };
 using OutgoingMessages = std::vector<Outgoing>;
 
+/// One process of the fleet, as holder, voter and possibly leader.
 class Budgets {
  public:
   Budgets(const Settings& settings, Micros now);
 
   void OnMessage(Micros now, uint16_t from, const Message& message, OutgoingMessages* out);
-  // Has to be called at NextAt() or later; earlier calls do nothing.
+  /// Runs what is due. Has to be called at NextTickAt() or later; earlier calls do nothing.
   void Tick(Micros now, OutgoingMessages* out);
   Micros NextTickAt() const;
 
-  // What the consumer could use of a budget, floor included. Sent with the next lease request.
+  /// Sets what the consumer could use of a budget, floor included. Sent with the next lease request.
   void SetDemand(uint32_t budget, uint32_t grains);
-  // What may be used now, floor included. Has to be called at every use. 0 for an unknown budget.
+  /// @return what may be used now, floor included; 0 for an unknown budget. Has to be called at every use.
   uint32_t Usable(Micros now, uint32_t budget) const;
-  // For the two levels of Fleet: the pool of a budget and when it ends (own clock), what is sublet from a
-  // lease (the lease is kept while that exceeds what the leader offers), and the lease itself.
+  // For the two levels of HierarchicalBudgets: the pool of a budget and when it ends (by this process's
+  // clock), how much of a lease is sublet (the lease is kept while that exceeds what the leader offers), and
+  // the lease.
   void SetPool(uint32_t budget, uint32_t pool, Micros until);
   void SetSublet(uint32_t budget, uint64_t grains);
   struct Lease {
@@ -43,20 +47,23 @@
     Micros until = 0;
   };
   Lease HeldLease(Micros now, uint32_t budget) const;
+  /// At the leader: the demand of the holders with recent requests.
   uint64_t Demand(uint32_t budget) const;
-  // Releases all leases and votes, at a planned shutdown.
+  /// Releases leases and votes at a planned shutdown. A leader with outstanding leases keeps its votes until
+  /// they expire.
   void Leave(Micros now, OutgoingMessages* out);
 
-  // The steps that Tick takes by the clock; for tests that explore every order of them.
+  // The steps that Tick takes by the clock; public for tests that explore every order of them.
   void Campaign(Micros now, OutgoingMessages* out);
   void AbandonCampaign(Micros now, OutgoingMessages* out);
   void RequestLeases(Micros now, OutgoingMessages* out, std::optional<uint16_t> target = std::nullopt);
 
   bool IsLeader(Micros now) const { return voter_ && now < votes_.MajorityUntil(); }
-  // At the leader: what all members may still use of a budget, without the floors.
+  /// At the leader: what all members may still use of a budget, without the floors.
   uint64_t Outstanding(Micros now, uint32_t budget) const;
-  // All state but random numbers and timers, for comparing two instances.
+  /// Writes all state except random numbers and timers, for comparing two instances.
   void Describe(std::ostream& out) const;
+  /// Event counts since the start. `rejected_entries` are about unknown budgets or exceed the pool.
   struct Counts {
     uint64_t campaigns = 0, lease_requests = 0, grants = 0, grants_received = 0, stale_messages = 0,
              rejected_entries = 0;
@@ -67,10 +74,10 @@
   struct Holding {
     BudgetSpec spec;
     uint32_t demand = 0;
-    uint32_t amount = 0, grant_number = 0, leader_incarnation = 0;  // the grant, and the leader's incarnation
+    uint32_t amount = 0, grant_number = 0, leader_incarnation = 0;  // the grant
     Micros until = 0;
     uint64_t sublet = 0;
-    uint32_t recall_limit = UINT32_MAX;  // what the leader offers while more is sublet
+    uint32_t recall_limit = UINT32_MAX;  // what the leader last offered, if more is sublet
   };
 
   bool NeedsRequest(const Holding& holding, Micros now) const;
@@ -89,13 +96,13 @@
   std::optional<Voter> voter_;
   Votes votes_;
   std::map<uint32_t, Division> divisions_;
-  std::map<uint32_t, Micros> pool_until_;  // of pools that end
-  std::minstd_rand random_;  // for delays and for choosing voters; small, since tests copy many instances
+  std::map<uint32_t, Micros> pool_until_;  // for pools that end
+  std::minstd_rand random_;  // for delays and the choice of voters; small, as tests copy many instances
   bool campaigning_ = false, has_left_ = false;
   int denials_ = 0;                      // in this campaign
-  Micros campaign_at_ = 0;               // the next, or the next renewal
-  uint16_t request_target_ = kNoMember;  // the leader as far as known, or a voter
-  bool answered_ = true;                 // the last ask was
+  Micros campaign_at_ = 0;               // the next campaign or renewal of votes
+  uint16_t request_target_ = kNoMember;  // the presumed leader, or a voter
+  bool answered_ = true;                 // whether the last lease request was
   uint32_t request_round_ = 0;
   Micros requested_at_ = 0, next_request_ = 0;
   Counts counts_;
--- a/src/budget/division.cpp
+++ b/src/budget/division.cpp
@@ -1,5 +1,5 @@
 // Max-min fair division by demand (Bertsekas and Gallager, "Data Networks", 6.5.2), in whole grains. The
-// remainder of an even share is granted in turns.
+// remainder of the even division is granted in turns.
 #include "budget/division.h"
 
 #include <algorithm>
@@ -30,7 +30,7 @@
   for (auto& [holder_id, holder] : holders_) {
     bool expired = holder.requested_at + demand_timeout < now;
     if (expired) holder.demand = 0;
-    // The last round is stored as long as an older request may still arrive; it would count as new otherwise.
+    // The last round is kept while an older request may still arrive; it would pass for a new one otherwise.
     std::erase_if(holder.incarnations,
                   [&](const auto& one) { return one.second.MaxAmount(now) == 0 && expired; });
   }
@@ -38,7 +38,7 @@
                 [](const auto& one) { return one.second.incarnations.empty() && one.second.demand == 0; });
 }
 
-// What the holder should have in all at this moment.
+// What the holder should hold in total at this moment.
 Division::Entitlement Division::ComputeEntitlement(Micros now, uint16_t holder_id, uint32_t held_amount,
                                                    Micros term) const {
   std::vector<uint32_t> demands;
@@ -49,7 +49,7 @@
   }
   const Holder& requester = holders_.at(holder_id);
   if (total_demand <= pool_) return {requester.demand, false};
-  // The water level: demands up to it are met in full, larger ones get the level.
+  // Water filling: demands up to the level are met in full, larger ones get the level.
   std::sort(demands.begin(), demands.end());
   uint64_t remaining = pool_, level = 0;
   size_t unmet_count = demands.size();
@@ -59,13 +59,12 @@
     remaining -= next_demand;
     --unmet_count;
   }
-  uint64_t remainder =
-      remaining - level * unmet_count;  // remainder in grains, fewer than there are unmet holders
+  uint64_t remainder = remaining - level * unmet_count;  // in grains; fewer than unmet holders
   uint64_t share = std::min<uint64_t>(requester.demand, level);
   bool starts_turn = false;
   if (requester.demand > level && remainder > 0) {
-    // A turn lasts one term and then goes to the first request from the half that has waited longest. Waiting
-    // for the longest waiter's request would leave the grain unused meanwhile.
+    // A turn lasts one term, then goes to the first request from the half of the holders that waited longest.
+    // Reserving it for the one that waited longest would leave the grain unused until its request comes.
     size_t contenders = 0, waiting_longer = 0;
     for (const auto& [other, holder] : holders_) {
       if (holder.demand <= level) continue;
@@ -90,7 +89,7 @@
   if (request.round <= incarnation.round) return std::nullopt;
   incarnation.round = request.round;
   holder.demand = request.demand, holder.requested_at = now;
-  // The holder uses only the grant that it names, and ignores answers to its older requests.
+  // The holder uses only the grant that it names and ignores answers to its older requests.
   std::erase_if(incarnation.grants, [&](const OutstandingGrant& grant) {
     return grant.number != request.held_grant || grant.until <= now;
   });
@@ -98,7 +97,7 @@
   Grant grant;
   grant.term = std::min(term, until - now);
   grant.number = ++last_grant_number_;
-  if (grant.term <= 0) return grant;  // no grant, but the demand is recorded
+  if (grant.term <= 0) return grant;  // nothing granted, but the demand is recorded
   uint64_t others = Outstanding(now) - held_amount;
   uint64_t available = pool_ > others ? pool_ - others : 0;
   Entitlement entitlement = ComputeEntitlement(now, request.holder, held_amount, term);
--- a/src/budget/division.h
+++ b/src/budget/division.h
@@ -1,5 +1,5 @@
-// Divides one budget at the leader: what every holder may still use, and what the next request is granted. A
-// grant counts until it expires or its holder confirms a later one.
+/// The division of one budget at the leader: tracks what every holder may still use, and decides what the
+/// next request is granted. A grant counts until it expires or its holder confirms another one.
 #ifndef LEMONCHUTE_BUDGET_DIVISION_H_
 #define LEMONCHUTE_BUDGET_DIVISION_H_
 
@@ -11,32 +11,37 @@
 
 namespace lemonchute::budget {
 
+/// A holder's request for a lease of one budget.
 struct LeaseRequest {
   uint16_t holder = 0;
   uint32_t incarnation = 0;
-  uint32_t round = 0;       // grows with each request of that incarnation
-  uint32_t demand = 0;      // grains, beyond its floor
-  uint32_t held_grant = 0;  // number of the grant in use; 0 for none, or for one of another leader
+  uint32_t round = 0;       ///< Grows with each request of that incarnation.
+  uint32_t demand = 0;      ///< In grains, beyond the floor.
+  uint32_t held_grant = 0;  ///< Number of the grant in use; 0 for none, or for another leader's.
 };
+/// The answer to a lease request.
 struct Grant {
   uint32_t number = 0, amount = 0;
-  Micros term = 0;  // by the leader's clock, from now on
+  Micros term = 0;  ///< By the leader's clock, from now on.
 };
 
+/// The holders of one budget, their demands and their outstanding grants.
 class Division {
  public:
   explicit Division(uint32_t pool) : pool_(pool) {}
 
-  // @param until when all grants have to end, by the leader's clock.
-  // @return nothing where the request is older than one that came before.
+  /// Records a request's demand and grants a lease.
+  /// @param until when all grants have to end, by the leader's clock.
+  /// @param demand_timeout after which a holder without requests has no demand.
+  /// @return nothing if the request is no newer than an earlier one.
   std::optional<Grant> Answer(Micros now, const LeaseRequest& request, Micros term, Micros until,
                               Micros demand_timeout);
-  // What all holders may still use.
+  /// What all holders may still use.
   uint64_t Outstanding(Micros now) const;
-  // The demand of the holders with recent requests.
+  /// The demand of the holders with recent requests.
   uint64_t Demand() const;
   void Describe(std::ostream& out) const;
-  // Outstanding grants stay until they expire.
+  /// Changes the pool. Outstanding grants stay valid until they expire.
   void SetPool(uint32_t pool) { pool_ = pool; }
 
  private:
@@ -46,17 +51,17 @@
   };
   struct Incarnation {
     uint32_t round = 0;
-    std::vector<OutstandingGrant> grants;  // at most two: the one in use, and the one in flight
+    std::vector<OutstandingGrant> grants;  // at most two: the one in use and the one in flight
     uint32_t MaxAmount(Micros now) const;
   };
   struct Entitlement {
     uint32_t share = 0;
-    bool starts_turn = false;  // one grain of it is a turn of what the even share leaves over
+    bool starts_turn = false;  // the share includes a grain of the remainder, as a new turn
   };
   struct Holder {
     uint32_t demand = 0;
-    Micros requested_at = 0, turn_started_at = INT64_MIN / 2;  // when its last such turn began
-    std::map<uint32_t, Incarnation> incarnations;              // those whose parts may still be used
+    Micros requested_at = 0, turn_started_at = INT64_MIN / 2;  // the last turn with a grain of the remainder
+    std::map<uint32_t, Incarnation> incarnations;              // those whose grants may still be in use
   };
 
   void Expire(Micros now, Micros demand_timeout);
--- a/src/budget/election.cpp
+++ b/src/budget/election.cpp
@@ -30,7 +30,7 @@
 
 void Votes::Clear() {
   vote_ends_.clear();
-  ++round_;  // answers still in flight don't count any more
+  ++round_;  // answers still in flight no longer count
 }
 
 Micros Votes::MajorityUntil() const {
--- a/src/budget/hierarchical_budgets.cpp
+++ b/src/budget/hierarchical_budgets.cpp
@@ -6,7 +6,7 @@
 namespace lemonchute::budget {
 namespace {
 
-// A group's lease survives two lost answers with enough time left for its members' leases to do the same.
+// A group's lease survives two lost answers with enough time left for its members' leases to survive two.
 constexpr int kGroupLeaseIntervals = 5;
 constexpr Micros kMinRequestInterval = 1'000'000, kMinVoteTerm = 12'000'000;
 
@@ -35,7 +35,7 @@
   for (uint16_t n = first_member; n < end_member && group_settings.voters.size() < settings.max_voters; ++n)
     group_settings.voters.push_back(n);
   group_.emplace(group_settings, now);
-  // A group's pool is what the fleet's leader grants it.
+  // Until the fleet's leader grants a lease, a group has nothing to divide.
   for (const BudgetSpec& spec : budgets_) group_->SetPool(spec.id, 0, 0);
   inter_group_settings.lease_intervals = kGroupLeaseIntervals;
   inter_group_settings.vote_term = std::max(kMinVoteTerm, 2 * inter_group_settings.LeaseTerm());
@@ -51,7 +51,7 @@
     inter_group_.emplace(inter_group_settings, now);
 }
 
-// The group's pool follows its lease, and its demand follows its members'.
+// Passes the group's lease down as its pool, and its members' demand up.
 void HierarchicalBudgets::SyncLevels(Micros now) {
   if (!inter_group_) return;
   bool is_group_leader = group_->IsLeader(now);
--- a/src/budget/message.cpp
+++ b/src/budget/message.cpp
@@ -1,4 +1,5 @@
-// Bytes: kind 1, parts 1, hint 2, incarnation 4, round 4, answerer 4, term 4 (ms); 12 for each part.
+// The header, in bytes: kind 1, number of entries 1, hint 2, incarnation 4, round 4, leader incarnation 4,
+// term 4 (in ms). An entry: budget 4, amount 4, grant number 4.
 #include "budget/message.h"
 
 #include <algorithm>
@@ -8,7 +9,7 @@
 namespace {
 
 constexpr size_t kHeaderBytes = 20, kEntryBytes = 12;
-constexpr uint8_t kInterGroupFlag = 0x80;  // of the kind's byte
+constexpr uint8_t kInterGroupFlag = 0x80;  // in the byte of the kind
 constexpr Micros kMicrosPerMs = 1000;
 
 void Put(std::vector<uint8_t>* out, uint32_t value) {
