--- a/tests/budget_cuts.cmake
+++ b/tests/budget_cuts.cmake
@@ -1,5 +1,5 @@
-# Planted faults in the core of budgets: the tests round a copy of it with one place changed. Each has to be named by the
-# sum that it breaks; a cut whose place is no longer found stops the configuration.
+# Planted faults in src/budget: each program runs the tests on a copy with one place changed, and passes if a test reports
+# the violated sum. A fault whose place is not found stops the configuration.
 function(budget_cut name test_filter file original replacement)
   set(sources)
   set(folder ${CMAKE_CURRENT_BINARY_DIR}/budget_cuts/${name})
@@ -25,19 +25,19 @@
   target_compile_options(budget_cut_${name} PRIVATE -w)
   add_test(NAME budget_cut_${name} COMMAND budget_cut_${name} --gtest_filter=Budgets.${test_filter}*)
   set_tests_properties(budget_cut_${name} PROPERTIES TIMEOUT 300 PASS_REGULAR_EXPRESSION
-                       "sum [0-9]+ of budget|seed [0-9]+: budget [0-9]+: [0-9]+ of|two arbiters")
+                       "sum [0-9]+ of budget|seed [0-9]+: budget [0-9]+: [0-9]+ of|two leaders")
 endfunction()
 
 file(GLOB budget_files RELATIVE ${CMAKE_CURRENT_SOURCE_DIR}/src/budget ${CMAKE_CURRENT_SOURCE_DIR}/src/budget/*)
-# Seen by the search of every order.
+# Found by the exhaustive search.
 budget_cut(quarantine Every election.h "until_(now + term) {}" "until_(now) {}")
 budget_cut(release Every budgets.cpp "if (voter_ && !(IsLeader(now) && has_outstanding))" "if (voter_)")
 budget_cut(lease Every budgets.cpp "Micros until = votes_.MajorityUntil();" "Micros until = now + 100 * settings_.LeaseTerm();")
 budget_cut(use Every budgets.cpp "(now < holding.until ? holding.amount : 0)" "holding.amount")
-# Between two levels.
+# Between the two levels.
 budget_cut(sublet RandomFaultsNeverExceedTheTotalOn budgets.cpp "if (now < holding.until && holding.sublet > entry.amount) {" "if (false) {")
 budget_cut(pool_end RandomFaultsNeverExceedTheTotalOn budgets.cpp "until = std::min(until, pool_end->second);" ";")
-# Seen by drawn histories: they need finer moments, or more words on the way at once.
+# Found by random faults only: they need finer timing or more messages in flight than the exhaustive search has.
 budget_cut(margin RandomFaultsNeverExceed terms.h "(1 - kMaxClockDrift) / (1 + kMaxClockDrift)" "1.0")
 budget_cut(in_flight RandomFaultsNeverExceed division.cpp "incarnation.grants.push_back({grant.number, grant.amount, now + grant.term})"
            "incarnation.grants = {{grant.number, grant.amount, now + grant.term}}")
--- a/tests/budget_measure.cpp
+++ b/tests/budget_measure.cpp
@@ -1,4 +1,4 @@
-// Prints what the core of budgets costs and how soon parts are in use again, in virtual time over many seeds.
+// Measures the cost of budgets and their recovery times in virtual time over many seeds.
 //   lemonchute_budget_measure [SEEDS]      20 seeds, at 10, 30, 100 and 300 members
 #include <algorithm>
 #include <cstdio>
@@ -11,7 +11,8 @@
 using namespace lemonchute::budget;
 using lemonchute::kSecond;
 
-// An arbiter hears so many asks a second at most: a quarter of what a gateway takes in (60), less its votes.
+// The lease requests per second that a leader receives at most: a quarter of what a gateway accepts (60),
+// less the messages of its votes.
 constexpr double kLeaseRequestsPerS = 12;
 constexpr uint32_t kTotal = 30000;
 
@@ -37,7 +38,7 @@
       };
     };
     auto set_demand = [&](int n) { simulation.SetDemand(n, 1, kTotal / 4); };
-    // Of the whole, that can be used: the mean of a minute.
+    // The usable share of the total in percent: mean of a minute.
     auto usable_share = [&] {
       double sum = 0;
       for (int i = 0; i < 60; ++i) {
@@ -55,7 +56,7 @@
     sent += static_cast<double>(simulation.sent - before),
         bytes += static_cast<double>(simulation.bytes - bytes_before);
     seconds += 60;
-    // The last fifth: whole groups, and no voters of the fleet's arbiter.
+    // The last fifth of the members: whole groups, without voters on the fleet's leader.
     Micros from = simulation.now;
     int killed = std::max(1, members / 5);
     for (int n = 0; n < killed; ++n) simulation.Kill(members - 1 - n);
@@ -74,14 +75,14 @@
     after_leader_death.values.push_back(usable_share());
     violations += static_cast<double>(simulation.violations);
   }
-  std::printf("%d members, %s; all want more than there is, 8%% lost, %llu seeds\n", members, levels,
-              static_cast<unsigned long long>(seeds));
-  startup.Print("from a start in one instant until 95% can be used, s");
-  after_kill.Print("a fifth killed: until 95% of what is left can be used, s");
-  steady.Print("of the whole that can be used, mean of a quiet minute, %", false);
-  after_leader_death.Print("likewise, the minute after the arbiter's death, back after 1 s", false);
+  std::printf("%d members, %s; demand exceeds the total, 8%% of the messages lost, %llu seeds\n", members,
+              levels, static_cast<unsigned long long>(seeds));
+  startup.Print("simultaneous start: until 95% is usable, s");
+  after_kill.Print("a fifth killed: until 95% of the rest is usable, s");
+  steady.Print("usable share of the total, mean of a minute without faults, %", false);
+  after_leader_death.Print("the same in the minute after a leader's death, back after 1 s", false);
   std::printf(
-      "  datagrams sent a member and second %.2f, %.0f bytes beside their heads; moments past the whole "
+      "  messages sent per member and second %.2f, %.0f bytes without datagram headers; invariant violations "
       "%.0f\n",
       sent / seconds / members, bytes / seconds / members, violations);
 }
--- a/tests/budget_test.cpp
+++ b/tests/budget_test.cpp
@@ -1,5 +1,5 @@
-// Budgets of the whole fleet: sums over any history in virtual time, every order of a small fleet, and what
-// planted faults do to both.
+// Budgets of the whole fleet: the sum of what all may use under random faults in virtual time, and under
+// every order of events in a small fleet. The planted faults of budget_cuts.cmake run both.
 #include <gtest/gtest.h>
 
 #include <unordered_set>
@@ -52,7 +52,7 @@
 }
 
 TEST(Budgets, RandomFaultsNeverExceedTheTotal) {
-  // Sizes, voters, wholes: ample, small, and smaller than the fleet.
+  // Various fleet sizes and voters; totals that are ample, small, and smaller than the fleet.
   const uint64_t seeds = 500;
   for (uint64_t seed = 1; seed <= seeds; ++seed) {
     auto count = static_cast<uint16_t>(seed % 10 == 0 ? 100 : 5 + seed % 9);
@@ -75,14 +75,14 @@
     InjectFaults(&simulation, seed, 30, 4 * kSecond);
     for (uint16_t n = 0; n < count; ++n) {
       BudgetSimulation::Process& process = simulation.processes[n];
-      // A majority of the voters is there; of the rest some stay dead.
+      // A majority of the voters runs; some of the others stay dead.
       if (n < 5 || process.core == nullptr) {
         if (n < 5 || seed % 2 == 0) simulation.Start(n);
       } else if (process.paused) {
         simulation.Resume(n);
       }
     }
-    // Those that left are restarted by the platform.
+    // Processes that left are restarted, as the platform does.
     for (uint16_t n = 5; n < count; ++n) {
       if (simulation.processes[n].core) simulation.Start(n);
     }
@@ -90,14 +90,15 @@
     uint64_t alive = 0;
     for (BudgetSimulation::Process& process : simulation.processes) alive += process.core ? 1 : 0;
     const BudgetSpec& large = simulation.process_settings.budgets[0];
-    // The floors of the dead are theirs; of all else 95 in 100. Stated: the quarantine of votes, a campaign
-    // or three under loss, and then a part's term and two asks.
+    // The floors of the dead stay unused; of the rest 95% have to be usable. The bound covers the time in
+    // which a restarted voter grants no vote, up to three campaigns under loss, a lease term and two lease
+    // requests.
     uint64_t reachable = large.total - large.floor * (count - alive);
     Micros bound = 4 * simulation.process_settings.vote_term + 2 * simulation.process_settings.LeaseTerm();
     EXPECT_GE(simulation.RunUntil(simulation.now + bound,
                                   [&] { return simulation.TotalUsable(1) * 100 >= reachable * 95; }),
               0)
-        << "seed " << seed << ": " << simulation.TotalUsable(1) << " of " << reachable << ", arbiters "
+        << "seed " << seed << ": " << simulation.TotalUsable(1) << " of " << reachable << ", leaders "
         << simulation.LeaderCount();
     EXPECT_GE(simulation.RunUntil(simulation.now + bound, [&] { return simulation.TotalUsable(2) == 7; }), 0)
         << seed;
@@ -105,7 +106,7 @@
   }
 }
 
-// The same on two levels: groups of two to six, some of them short of members.
+// The same on two levels: groups of two to six, of which some are incomplete.
 TEST(Budgets, RandomFaultsNeverExceedTheTotalOnTwoLevels) {
   for (uint64_t seed = 1; seed <= 300; ++seed) {
     auto count = static_cast<uint16_t>(7 + seed % 14);
@@ -119,11 +120,11 @@
     ASSERT_EQ(simulation.violations, 0u) << "seed " << seed << ": " << simulation.first_violation;
     for (int n = 0; n < count; ++n) simulation.Start(n);
     SetAllDemands(&simulation, 1000);
-    // Each level as one: votes, a campaign or three under loss, a part's term and two asks.
+    // Per level: the votes, up to three campaigns under loss, a lease term and two lease requests.
     EXPECT_GE(
         simulation.RunUntil(simulation.now + 150 * kSecond, [&] { return simulation.TotalUsable(1) >= 950; }),
         0)
-        << "seed " << seed << ": " << simulation.TotalUsable(1) << ", arbiters " << simulation.LeaderCount();
+        << "seed " << seed << ": " << simulation.TotalUsable(1) << ", leaders " << simulation.LeaderCount();
     ASSERT_EQ(simulation.violations, 0u) << "seed " << seed << ": " << simulation.first_violation;
   }
 }
@@ -134,7 +135,7 @@
   simulation.StartAll();
   SetAllDemands(&simulation, 1000);
   ASSERT_GE(simulation.RunUntil(60 * kSecond, [&] { return simulation.TotalUsable(1) >= 950; }), 0);
-  // Four, two of the five voters among them.
+  // Four members, with two of the five voters among them.
   auto isolated = [](int n) { return n < 2 || n >= 8; };
   simulation.passes = [&](int from, int to) { return isolated(from) == isolated(to); };
   Micros cut_at = simulation.now;
@@ -144,7 +145,7 @@
     const BudgetSimulation::Process& process = simulation.processes[static_cast<size_t>(n)];
     EXPECT_EQ(process.core->Usable(simulation.Clock(process), 1), 50u) << n;
   }
-  // What they had is in use again on the other side.
+  // Their leases are in use again on the other side.
   EXPECT_GE(simulation.RunUntil(cut_at + 4 * simulation.process_settings.vote_term,
                                 [&] { return simulation.TotalUsable(1) >= 950; }),
             0)
@@ -162,7 +163,7 @@
     const BudgetSimulation::Process& process = simulation.processes[static_cast<size_t>(n)];
     return process.core->Usable(simulation.Clock(process), b);
   };
-  // Nine have all that they want, and the tenth has what is left of the pool: 500 - 9 * 10, and its floor.
+  // Nine get their full demand; the tenth gets the rest of the pool, 500 - 9 * 10, and its floor.
   auto demands_met = [&] {
     for (int n = 0; n < 9; ++n) {
       if (usable(n, 1) != 60) return false;
@@ -170,7 +171,7 @@
     return usable(9, 1) == 50 + 410;
   };
   EXPECT_GE(simulation.RunUntil(60 * kSecond, demands_met), 0) << usable(9, 1);
-  // A whole of two over ten that all want one: never more than two have it, and each has its turn.
+  // Two grains for ten members that demand one each: at most two hold one at a time, and all take turns.
   std::vector<int> samples_with_lease(10, 0);
   for (int i = 0; i < 1200; ++i) {
     simulation.Run(simulation.now + 100'000);
@@ -178,7 +179,7 @@
   }
   for (int n = 0; n < 10; ++n) EXPECT_GT(samples_with_lease[static_cast<size_t>(n)], 60) << n;
   EXPECT_EQ(simulation.violations, 0u) << simulation.first_violation;
-  // What nobody wants is asked for by nobody.
+  // Without demand there are no lease requests.
   SetAllDemands(&simulation, 0);
   simulation.Run(simulation.now + simulation.process_settings.LeaseTerm() + 2 * kSecond);
   uint64_t requests_before = 0, requests_after = 0;
@@ -190,7 +191,7 @@
   EXPECT_EQ(requests_before, requests_after);
 }
 
-// Datagrams of a sender that is wrong about itself, or no datagrams at all.
+// Malformed messages, random bytes and messages with false claims.
 TEST(Budgets, InvalidMessagesGrantNothing) {
   std::mt19937_64 random(1);
   Message valid;
@@ -214,7 +215,7 @@
     if (i % 1000 == 0) out.clear();
   }
   EXPECT_EQ(core.Usable(3000, 1), 16u);
-  // A vote of one that is no voter counts for nothing, and a grant of more than there is neither.
+  // Votes of members that are no voters don't count, nor does a grant that exceeds the total.
   Message vote;
   vote.kind = Kind::kVote, vote.incarnation = 9, vote.round = 1;
   core.Campaign(20 * kSecond, &out);
@@ -226,7 +227,7 @@
   oversized.entries = {{1, 101, 1}};
   core.OnMessage(2000, 0, oversized, &out);
   EXPECT_EQ(core.Usable(3000, 1), 16u);
-  // Floors that sum to more than the whole give nobody anything.
+  // Floors that sum to more than the total make the budget unusable.
   Settings invalid = settings;
   invalid.budgets[0].floor = 40;
   EXPECT_EQ(Budgets(invalid, 0).Usable(0, 1), 0u);
@@ -235,7 +236,7 @@
 TEST(Budgets, AStaleReleaseDoesNotRevokeANewerVote) {
   Voter voter(0, 10);
   const Candidate one{1, 7}, other{2, 8};
-  EXPECT_FALSE(voter.RequestVote(9, one, 1));  // an earlier life may have promised its vote
+  EXPECT_FALSE(voter.RequestVote(9, one, 1));  // an earlier incarnation may have promised its vote
   EXPECT_TRUE(voter.RequestVote(10, one, 3));
   voter.Release(11, one, 2);
   EXPECT_FALSE(voter.RequestVote(12, other, 1));
@@ -245,8 +246,8 @@
   EXPECT_TRUE(voter.RequestVote(13, other, 3));
 }
 
-// Every order of what may happen to three members, from a start at which all have started and wait: deliver
-// any message, lose it, double it, let a second pass (on clocks that drift apart), campaign, ask, crash and
+// Explores every order of events of three members that have just started: deliver, lose or duplicate any
+// message, advance time by a second (on clocks that drift apart), campaign, request leases, leave, crash and
 // restart.
 class ExhaustiveSearch {
  public:
@@ -269,31 +270,31 @@
   uint64_t states = 0;
   std::string violation;
 
-  // Breadth first, to a depth or to a number of states, from each of some beginnings.
+  // Breadth first from each of several start points, up to a number of states.
   void Explore(size_t max_states) {
     State start;
     for (size_t n = 0; n < 3; ++n) StartCore(&start, n, static_cast<uint32_t>(n + 1));
-    start.now = 5 * kSecond;  // the quarantine of the first votes is over
+    start.now = 5 * kSecond;  // the initial wait of the voters is over
     Invoke(&start, 0, [](Budgets& core, Micros now, OutgoingMessages* out) { core.Campaign(now, out); });
     State elected = start;
-    // By two of three: the third has its own vote still.
+    // Elected by two of three: the third has not been asked.
     std::erase_if(elected.in_flight, [](const auto& one) { return one.first.to == 2; });
     DeliverAll(&elected);
     DeliverAll(&elected);
-    // The first, or the second, has all of the pools.
+    // The first, or the second member, holds all of the pools.
     State first = elected, second = elected;
     SendLeaseRequest(&first, 0, 0), DeliverAll(&first);
     SendLeaseRequest(&second, 1, 0), DeliverAll(&second), DeliverAll(&second);
-    // The same shortly before the votes run out.
+    // The same shortly before the votes expire.
     State near_expiry = elected;
     near_expiry.now += 3 * kSecond;
     SendLeaseRequest(&near_expiry, 1, 0), DeliverAll(&near_expiry), DeliverAll(&near_expiry);
-    // All have asked, and answers are on their way.
+    // All have requested leases, and answers are in flight.
     State asked = first;
     asked.now += kSecond;
     SendLeaseRequest(&asked, 1, 0), DeliverAll(&asked), SendLeaseRequest(&asked, 0, 0),
         SendLeaseRequest(&asked, 2, 0);
-    // One has given up, and its words are on their way.
+    // One has abandoned its campaign, and its messages are in flight.
     State abandoned = start;
     Invoke(&abandoned, 0,
            [](Budgets& core, Micros now, OutgoingMessages* out) { core.AbandonCampaign(now, out); });
@@ -324,7 +325,7 @@
         level = std::move(next);
       }
       if (!violation.empty()) return;
-      depths.push_back(depth - 1);  // every order to that depth
+      depths.push_back(depth - 1);  // every order was explored to that depth
     }
   }
   std::vector<int> depths;
@@ -359,7 +360,7 @@
       core.RequestLeases(now, out, target);
     });
   }
-  // All that is on its way.
+  // Delivers all messages that are in flight.
   static void DeliverAll(State* state) {
     for (const auto& [outgoing, from] : std::exchange(state->in_flight, {}))
       Invoke(state, outgoing.to, [&, f = from](Budgets& core, Micros now, OutgoingMessages* out) {
@@ -399,7 +400,7 @@
         });
         AddState(std::move(successor), next);
       };
-      deliver(std::move(delivered));  // what is lost is what stays on its way
+      deliver(std::move(delivered));  // a lost message is one that stays in flight
       if (state.duplicates == 1 || (actions_ & kDuplicates) == 0) continue;
       State duplicated = state;
       ++duplicated.duplicates;
@@ -436,14 +437,14 @@
   }
   std::unordered_set<size_t> seen_;
   unsigned actions_ = 0;
-  std::vector<size_t> actors_;  // act by themselves
+  std::vector<size_t> actors_;  // the members that act on their own, not only on messages
 };
 
 TEST(Budgets, EveryOrderOfEventsKeepsTheTotal) {
   ExhaustiveSearch search;
   search.Explore(60'000);
   EXPECT_EQ(search.violation, "");
-  std::printf("%llu states; every order from each beginning to depth",
+  std::printf("%llu states; every order from each start point to depth",
               static_cast<unsigned long long>(search.states));
   for (int depth : search.depths) std::printf(" %d", depth);
   std::printf("\n");
--- a/tests/budget_world.h
+++ b/tests/budget_world.h
@@ -1,6 +1,6 @@
-// Owns the small world that the budget tests share: cores on clocks that drift, over a seeded network in
-// memory that loses, delays, doubles and reorders, with cuts, kills, stops and restarts. After each event the
-// sum of what all may use is held against the whole.
+/// The simulation that the budget tests share: processes on drifting clocks over a seeded network in memory
+/// that loses, delays, duplicates and reorders messages, with partitions, kills, pauses and restarts. After
+/// each event the sum of what all processes may use is checked against the total.
 #ifndef LEMONCHUTE_TESTS_BUDGET_WORLD_H_
 #define LEMONCHUTE_TESTS_BUDGET_WORLD_H_
 
@@ -13,6 +13,7 @@
 
 namespace lemonchute::budget {
 
+/// @tparam Core Budgets or HierarchicalBudgets.
 template <typename Core>
 class BasicSimulation : public VirtualTime {
  public:
@@ -20,19 +21,19 @@
     std::unique_ptr<Core> core;
     bool paused = false;
     uint64_t scheduled_tick = 0, incarnation = 0;
-    double clock_rate = 1;  // of its clock
+    double clock_rate = 1;  // of its clock, relative to true time
     Micros clock_offset = 0;
     std::vector<std::pair<uint16_t, Message>> pending;
   };
   std::function<bool(int from, int to)> passes = [](int, int) { return true; };
   double loss_share = 0.08, duplicate_share = 0.02, late_share = 0.02;
-  Settings process_settings;  // of each; self, life and seed are its own
+  Settings process_settings;  // shared; `self`, `incarnation` and `seed` are set for each process
   std::vector<Process> processes;
   uint64_t violations = 0, sent = 0, bytes = 0;
-  bool check_each_event = true;  // after each event; else with each step of Run alone
+  bool check_each_event = true;  // otherwise only at the end of each Run
   std::string first_violation;
 
-  // One process's core, from the form of all.
+  /// Creates the core of one process.
   std::function<std::unique_ptr<Core>(const Settings&, Micros now)> make_core;
 
   BasicSimulation(size_t count, uint64_t seed) : processes(count), random_(seed) {
@@ -80,7 +81,7 @@
     if (process.core && !process.paused)
       Execute(n, [&](OutgoingMessages*) { process.core->SetDemand(budget, grains); });
   }
-  // Of all that have not died, the stopped too: they may go on at any moment.
+  /// What all processes that were not killed may use. Paused ones count, as they may resume at any moment.
   uint64_t TotalUsable(uint32_t budget) const {
     uint64_t sum = 0;
     for (const Process& process : processes)
@@ -108,7 +109,7 @@
         first_violation = description.str();
       }
     }
-    if (LeaderCount() > 1 && violations++ == 0) first_violation = "two arbiters at " + std::to_string(now);
+    if (LeaderCount() > 1 && violations++ == 0) first_violation = "two leaders at " + std::to_string(now);
   }
   void ScheduleTick(int n) {
     Process& process = processes[static_cast<size_t>(n)];
@@ -127,7 +128,7 @@
   }
   void Transmit(int from, const Outgoing& outgoing) {
     ++sent;
-    // As it goes over the wire.
+    // Delivered as decoded from its encoding, as on the wire.
     std::vector<uint8_t> encoded = Encode(outgoing.message);
     bytes += encoded.size();
     std::optional<Message> decoded = budget::Decode(encoded);
@@ -158,7 +159,7 @@
   }
 };
 
-// Two levels.
+/// The same with budgets on two levels.
 class HierarchicalSimulation : public BasicSimulation<HierarchicalBudgets> {
  public:
   HierarchicalSimulation(size_t count, uint64_t seed, uint16_t group_size) : BasicSimulation(count, seed) {
@@ -172,7 +173,7 @@
   }
 };
 
-// A whole of `whole` grains over that many numbers, half of it floors; the first `voters` of them vote.
+/// One budget for each total, half of it in floors; the first `voter_count` of `count` members vote.
 inline Settings MakeSettings(uint16_t count, uint16_t voter_count, std::vector<uint32_t> totals) {
   Settings settings;
   for (uint16_t voter = 0; voter < std::min(voter_count, count); ++voter) settings.voters.push_back(voter);
--- a/tests/membership_measure.cpp
+++ b/tests/membership_measure.cpp
@@ -1,4 +1,4 @@
-// Prints what membership costs and how fast it is, in virtual time over many seeds: median and worst.
+// Measures the cost and the convergence times of membership in virtual time: median and worst of many seeds.
 //   lemonchute_membership_measure [MEMBERS [SEEDS]]      300 members, 50 seeds
 #include <sys/resource.h>
 
@@ -38,7 +38,7 @@
     SimulatedNetwork net(members, seed);
     Micros suspected_at = -1;
     int victim = -1;
-    std::set<std::pair<int, uint32_t>> false_death_events;  // each false death once, however many believe it
+    std::set<std::pair<int, uint32_t>> false_death_events;  // each false death once, in however many views
     uint64_t false_death_view_count = 0;
     net.on_change = [&](int, const Change& change) {
       if (change.member == victim && change.current >= State::kSuspect && suspected_at < 0)
@@ -50,7 +50,7 @@
     };
     net.StartAll();
     net.Run(20 * kSecond);
-    // A calm minute in which 5% of the members are held up for up to a second, again and again.
+    // A minute without kills in which 5% of the members are paused for up to a second, every second.
     std::mt19937_64 random(seed);
     for (auto& m : net.members) m.total_arrivals = 0, m.peak_arrivals_per_s = 0;
     for (int second = 0; second < 60; ++second) {
@@ -72,7 +72,7 @@
     double hours = static_cast<double>(members) * 61 / 3600;
     false_deaths.Add(static_cast<double>(false_death_events.size()) / hours);
     false_death_views.Add(static_cast<double>(false_death_view_count) / hours / static_cast<double>(members));
-    // One dies.
+    // One member dies.
     victim = static_cast<int>(random() % members);
     Micros from = net.now;
     net.Kill(victim);
@@ -88,13 +88,13 @@
     planned_leave.Add(
         Seconds(from, net.RunUntil(from + 120 * kSecond, [&] { return net.AllSee(victim, State::kLeft); })));
     net.Kill(victim);
-    // A zone of a fifth is cut off for 10 s.
+    // A zone with a fifth of the members is partitioned off for 10 s.
     net.passes = [&](int a, int b) { return (a % 5 == 0) == (b % 5 == 0); };
     net.Run(net.now + 10 * kSecond);
     net.passes = [](int, int) { return true; };
     from = net.now;
     heal.Add(Seconds(from, net.RunUntil(from + 300 * kSecond, [&] { return net.DigestsAgree(); })));
-    // Seven in ten are killed at once, and are back after a second.
+    // 70% of the members are killed at once and restarted after a second.
     for (auto& m : net.members) m.peak_arrivals_per_s = 0;
     std::vector<int> killed;
     for (size_t m = 0; m < members; ++m) {
@@ -116,19 +116,20 @@
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
   cpu_s = static_cast<double>(usage.ru_utime.tv_sec) + 1e-6 * static_cast<double>(usage.ru_utime.tv_usec);
-  std::printf("%zu members, 8%% of the datagrams lost, 2%% doubled, 2%% late by ten times, 2 to 20 ms\n",
-              members);
-  first_suspicion.Print("death: first suspicion by anybody", "s");
+  std::printf(
+      "%zu members; 8%% of the datagrams lost, 2%% duplicated, delays 2 to 20 ms, of 2%% ten times that\n",
+      members);
+  first_suspicion.Print("death: first suspicion by any member", "s");
   known_to_all.Print("death: known to all", "s");
-  restart.Print("return without memory: known to all", "s");
+  restart.Print("restart: known to all", "s");
   planned_leave.Print("planned leave: known to all", "s");
-  false_deaths.Print("false deaths a member-hour, 5% of the members held up", "");
-  false_death_views.Print("the same, as the share of members that believed one", "");
-  heal.Print("a fifth cut off for 10 s: one digest after the heal", "s");
-  mass_restart.Print("seven in ten killed, back after 1 s: one digest", "s");
-  arrivals_mean.Print("datagrams taken a second, mean of the members", "");
-  arrivals_peak.Print("datagrams taken in any one second, worst member", "");
-  restart_peak.Print("the same while seven in ten die and return", "");
-  std::printf("processor: %.2f us a member and second, network of the test included; peak memory %ld MB\n",
+  false_deaths.Print("false deaths per member-hour, 5% of the members paused", "");
+  false_death_views.Print("the same, as the share of members that saw one", "");
+  heal.Print("a fifth partitioned off for 10 s: one digest after the heal", "s");
+  mass_restart.Print("70% killed, restarted after 1 s: one digest", "s");
+  arrivals_mean.Print("datagrams received per second, mean of the members", "");
+  arrivals_peak.Print("datagrams received in any one second, worst member", "");
+  restart_peak.Print("the same while 70% die and restart", "");
+  std::printf("CPU: %.2f us per member and second, simulated network included; peak memory %ld MB\n",
               1e6 * cpu_s / member_seconds, usage.ru_maxrss / 1024);
 }
--- a/tests/membership_net.h
+++ b/tests/membership_net.h
@@ -1,5 +1,5 @@
-// Owns the small world that the membership tests share: cores on a manual clock, over a seeded network in
-// memory that loses, delays, doubles and reorders datagrams, with cuts, kills, stops and restarts.
+/// The simulation that the membership tests share: members in virtual time over a seeded network in memory
+/// that loses, delays, duplicates and reorders datagrams, with partitions, kills, pauses and restarts.
 #ifndef LEMONCHUTE_TESTS_MEMBERSHIP_NET_H_
 #define LEMONCHUTE_TESTS_MEMBERSHIP_NET_H_
 
@@ -11,20 +11,21 @@
 
 namespace lemonchute::membership {
 
+/// The members of a fleet and the network between them.
 class SimulatedNetwork : public VirtualTime {
  public:
   struct Member {
     std::unique_ptr<Membership> core;
     bool paused = false;
-    uint64_t start_count = 0, scheduled_tick = 0;               // planned: the newest of its ticks
-    std::vector<std::pair<int, std::vector<uint8_t>>> pending;  // what came while it was stopped
-    std::vector<Micros> recent_arrivals;                        // arrivals, of the last second
+    uint64_t start_count = 0, scheduled_tick = 0;  // the ticks scheduled so far; only the newest one runs
+    std::vector<std::pair<int, std::vector<uint8_t>>> pending;  // arrivals while it was paused: sender, bytes
+    std::vector<Micros> recent_arrivals;                        // times, of the last second
     size_t peak_arrivals_per_s = 0;
     uint64_t total_arrivals = 0;
   };
-  // Called for each change that a member sees.
+  /// Called for each change in a member's view.
   std::function<void(int observer, const Change& change)> on_change = [](int, const Change&) {};
-  // Whether a datagram passes at all.
+  /// Whether the link between two members is up.
   std::function<bool(int from, int to)> passes = [](int, int) { return true; };
   double loss_share = 0.08, duplicate_share = 0.02, late_share = 0.02;
   Micros min_delay = 2'000, max_delay = 20'000;
@@ -54,7 +55,7 @@
     Member& member = members[static_cast<size_t>(m)];
     member.paused = false;
     if (member.core == nullptr) return;
-    // The timer is seen first, as after a stop both are due.
+    // The timer goes first, since after a pause both the timer and the datagrams are due.
     Execute(m, [&](Actions* out) { member.core->Tick(now, out); });
     auto pending = std::move(member.pending);
     member.pending.clear();
@@ -78,7 +79,7 @@
     }
     return true;
   }
-  // All that run believe that of `member`.
+  /// Whether all other running members see the member in that state.
   bool AllSee(int member, State state) const {
     for (size_t m = 0; m < members.size(); ++m) {
       if (static_cast<int>(m) == member || members[m].core == nullptr || members[m].paused) continue;
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,4 +1,4 @@
-// Membership's core: its datagrams, and many members in virtual time for each hard case.
+// The membership core: its datagram format, and fleets in virtual time under each kind of fault.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -32,7 +32,7 @@
   EXPECT_EQ(Decode(Encode(oversized), 10, &error)->updates.size(), UpdatesThatFit(true));
 }
 
-// The form by hand, as a second reader would have it from docs/MEMBERSHIP.md: any change of it is seen here.
+// The bytes as docs/MEMBERSHIP.md defines them, written by hand, so that any change of the format fails here.
 TEST(MembershipMessage, EncodingMatchesTheDocumentedBytes) {
   Message ping;
   ping.from = 3, ping.target = 7, ping.sequence = 0x01020304, ping.digest = 0x1122334455667788;
@@ -41,7 +41,7 @@
       'L',  'M',  1,    1,                                // format, kind
       0,    3,    0,    7,    1,    2,    3,    4,        // from, target, sequence
       0x11, 0x22, 0x33, 0x44, 0x55, 0x66, 0x77, 0x88,     // digest
-      1,    17,                                           // a section of words, its bytes
+      1,    17,                                           // section kind: updates; its length
       0,    5,    1,    0,    2,    0,    0,    0,    9,  // member, state, by, incarnation
       0xa1, 0xa2, 0xa3, 0xa4, 0xb1, 0xb2, 0xb3, 0xb4};    // program, configuration
   EXPECT_EQ(Encode(ping), bytes);
@@ -95,7 +95,7 @@
   }
 }
 
-// Hostile and stale datagrams to one member: dropped and counted, and the view stays as it is.
+// Hostile and stale datagrams are dropped and counted, and the view stays unchanged.
 TEST(Membership, UnknownSendersReplaysAndNoiseLeaveTheViewUnchanged) {
   SimulatedNetwork net(5, 1);
   net.StartAll();
@@ -109,7 +109,7 @@
   std::vector<uint8_t> bytes = Encode(impostor);
   core.OnDatagram(net.now, -1, bytes, &out);
   core.OnDatagram(net.now, 99, bytes, &out);
-  core.OnDatagram(net.now, 2, bytes, &out);  // it says that it is 3
+  core.OnDatagram(net.now, 2, bytes, &out);  // claims to be member 3
   std::vector<uint8_t> noise(256, 0xab);
   core.OnDatagram(net.now, 1, noise, &out);
   EXPECT_EQ(core.counts().unknown_senders, 2u);
@@ -120,7 +120,7 @@
   size_t sent = out.send.size();
   for (int i = 0; i < 10000; ++i) core.OnDatagram(net.now, 1, Encode(stale), &out);
   EXPECT_EQ(core.view().digest(), digest);
-  // No answer amplifies: what goes out is bounded by the pace, whatever comes in.
+  // No amplification: what goes out is bounded by the own rate, whatever comes in.
   EXPECT_LE(out.send.size() - sent, 15u);
 }
 
@@ -166,7 +166,7 @@
         0)
         << seed;
     EXPECT_EQ(fleet.net.members[3].core->view().At(7).version, (SoftwareVersion{2, 2}));
-    // And at once, before anybody has noticed: what it runs now is known all the same.
+    // Also after an immediate restart that nobody noticed: its new version is known to all.
     fleet.net.Kill(9);
     fleet.net.Start(9, {3, 3});
     EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kConvergenceBound,
@@ -209,7 +209,7 @@
   EXPECT_EQ(fleet.deaths.size(), 1u);
 }
 
-// A list that grows and shrinks at one member before the others: nobody dies of it, and one view follows.
+// The peer list changes at some members before others: no false deaths, and the views converge.
 TEST(Membership, PeerListsMayDifferDuringAReload) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
     ConvergedFleet fleet(12, seed);
@@ -230,7 +230,8 @@
   }
 }
 
-// One that floods us has no more than half of our pace; one that speaks with our number leaves us cut off.
+// A flooding peer gets at most half of the receive rate, and a process that uses our number leaves us cut
+// off.
 TEST(Membership, AFloodDoesNotStarveOtherPeersAndImpersonationIsDetected) {
   SimulatedNetwork net(5, 1);
   net.StartAll();
@@ -246,7 +247,7 @@
     net.now += 10'000;
     Actions out;
     for (int n = 0; n < 100; ++n) core.OnDatagram(net.now, 1, flood, &out);
-    if (i % 50 == 0) core.OnDatagram(net.now, 2, honest, &out);  // two a second
+    if (i % 50 == 0) core.OnDatagram(net.now, 2, honest, &out);  // two per second
     for (const Datagram& d : out.send) answers += d.to == 2 ? 1 : 0;
   }
   EXPECT_GT(core.counts().over_sender_rate, 90000u);
@@ -301,7 +302,7 @@
 
 TEST(Membership, APartitionIsDetectedByTheMinorityAndHeals) {
   ConvergedFleet fleet(kMembers, 5);
-  // A fifth of the fleet is cut off; then a one-way cut; then all is well.
+  // A fifth of the fleet is partitioned off, then only what it sends is lost, then the network heals.
   fleet.net.passes = [](int from, int to) { return (from < 8) == (to < 8); };
   EXPECT_GE(fleet.net.RunUntil(fleet.net.now + kConvergenceBound,
                                [&] {
@@ -320,12 +321,13 @@
                                         fleet.net.members[2].core->view().Count(State::kAlive) == kMembers;
                                }),
             0);
-  fleet.net.Run(fleet.net.now + 10 * kSecond);  // until what was heard before has been heard anew
+  // Until digests from before the heal are replaced.
+  fleet.net.Run(fleet.net.now + 10 * kSecond);
   EXPECT_EQ(fleet.net.members[2].core->ComputeVerdict(fleet.net.now), Verdict::kConverged);
 }
 
-// From any history of kills, cuts, stops and restarts: once it is quiet, one digest, and nobody over the
-// pace.
+// After random kills, partitions, pauses and restarts all members come to one digest once the faults end, and
+// none receives more than its limit in any second.
 TEST(Membership, ViewsConvergeAfterRandomFaults) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     SimulatedNetwork net(24, seed);
--- a/tests/peer_fleet.h
+++ b/tests/peer_fleet.h
@@ -1,5 +1,4 @@
-// Several gateways that speak to one another, and the network between them, held by the test: it carries each
-// datagram, or not, and sees who sent how much.
+/// Several gateway processes, and a proxy for the datagrams between them that the test controls.
 #ifndef LEMONCHUTE_TESTS_PEER_FLEET_H_
 #define LEMONCHUTE_TESTS_PEER_FLEET_H_
 
@@ -9,7 +8,8 @@
 
 namespace rig {
 
-// For each number an address at which the others find it (`peers`).
+/// A UDP proxy with one address for each member, at which the others find it (`peers`). Forwards or drops
+/// each datagram and counts what each member sends.
 class PeerNet {
  public:
   explicit PeerNet(int members)
@@ -31,7 +31,7 @@
       all.push_back("127.0.0.1:" + std::to_string(ports_[static_cast<size_t>(m)]));
     return all;
   }
-  // Where that number listens; 0: not known yet.
+  /// @return the port that the member itself listens on; 0 if not known yet.
   int ListenPort(int m) {
     std::lock_guard lock(mutex_);
     return listen_ports_[static_cast<size_t>(m)];
@@ -52,12 +52,13 @@
     std::lock_guard lock(mutex_);
     return longest_datagram_;
   }
-  // A datagram that number `from` has sent, as it was on the way last.
+  /// @return the last datagram that the member sent.
   std::string LastDatagram(int from) {
     std::lock_guard lock(mutex_);
     return last_datagrams_[from];
   }
-  // As if member `from` had sent it; -1: from an address that is nobody's.
+  /// Sends a datagram as if from a member.
+  /// @param from the member; -1 for an address that is no member's.
   void Inject(int from, int to, const std::string& bytes) {
     sockaddr_in at;
     close(Loopback(&at, ListenPort(to)));
@@ -121,7 +122,7 @@
   std::thread thread_;
 };
 
-// Gateways 0 to `members` - 1 with a folder each. What they are asked goes to their doors.
+/// Gateways 0 to `members` - 1 with a folder each, queried through their admin endpoints.
 class PeerFleet {
  public:
   explicit PeerFleet(int members, json extensions = {{"membership", json::object()}})
@@ -133,7 +134,7 @@
     json config = Config(discovery_.port(), counter_.port());
     config["name"] = "n" + std::to_string(m);
     config["settings"]["me"] = m, config["settings"]["peers-total"] = members;
-    // A period of 0.1 s, so that what has to be seen is soon seen.
+    // A probe period of 0.1 s, so that the tests need not wait long.
     config["settings"]["specifics"]["peer-in-per-s"] = 240;
     config["peer_listen"] = "127.0.0.1:" + std::to_string(net.ListenPort(m));
     config["peers"] = net.Addresses(members);
@@ -168,7 +169,7 @@
   static json MembersOf(const Process& process) {
     return json::parse(Call(process.ops_port, "GET", "/control/members").body, nullptr, false);
   }
-  // What `at` believes of `m`.
+  /// @return the state of member `m` as the observer sees it.
   std::string StateSeenBy(int observer, int m) const {
     json members = Members(observer).value("members", json::array());
     return static_cast<size_t>(m) < members.size() ? members[static_cast<size_t>(m)].at("state") : "";
@@ -177,14 +178,14 @@
     return std::all_of(observers.begin(), observers.end(),
                        [&](int observer) { return StateSeenBy(observer, m) == state; });
   }
-  // How often each has taken anyone for dead.
+  /// @return how many deaths each observer has counted.
   std::vector<long> DeathCounts(const std::vector<int>& observers) const {
     std::vector<long> all;
     for (int observer : observers)
       all.push_back(Figure(gateways[static_cast<size_t>(observer)]->ops_port, "members_deaths"));
     return all;
   }
-  // One digest, and that verdict everywhere.
+  /// Whether all observers report the same digest, and that verdict.
   bool Agree(const std::vector<int>& observers, const std::string& verdict = "converged") const {
     json first = Members(observers[0]);
     return std::all_of(observers.begin(), observers.end(), [&](int observer) {
@@ -204,7 +205,7 @@
   Discovery discovery_;
 };
 
-// Asks again until it holds.
+/// Polls until the condition holds.
 template <typename Holds>
 ::testing::AssertionResult Await(const char* what, Holds holds) {
   auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(kLimitS);
@@ -212,7 +213,7 @@
     if (holds()) return ::testing::AssertionSuccess();
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
-  return ::testing::AssertionFailure() << "has not come in " << kLimitS << " s: " << what;
+  return ::testing::AssertionFailure() << "still false after " << kLimitS << " s: " << what;
 }
 #define EXPECT_SOON(...) EXPECT_TRUE(Await(#__VA_ARGS__, [&] { return __VA_ARGS__; }))
 #define ASSERT_SOON(...) ASSERT_TRUE(Await(#__VA_ARGS__, [&] { return __VA_ARGS__; }))
--- a/tests/virtual_time.h
+++ b/tests/virtual_time.h
@@ -1,5 +1,4 @@
-// Owns time for tests in which nothing sleeps: what is due, in order, and a clock that moves from one to the
-// next.
+/// Virtual time for tests that don't sleep: an event queue, and a clock that advances from event to event.
 #ifndef LEMONCHUTE_TESTS_VIRTUAL_TIME_H_
 #define LEMONCHUTE_TESTS_VIRTUAL_TIME_H_
 
@@ -12,6 +11,7 @@
 
 inline constexpr int64_t kSecond = 1'000'000;  // microseconds
 
+/// Events with equal times run in the order in which they were scheduled.
 class VirtualTime {
  public:
   virtual ~VirtualTime() = default;
@@ -28,7 +28,8 @@
     now = until;
     OnRunEnd();
   }
-  // Runs until `what` holds, looking each `step`; when it first held, or -1.
+  /// Runs until the condition holds, checking it at every `step`.
+  /// @return when it was first seen to hold; -1 if it did not by the limit.
   int64_t RunUntil(int64_t limit, const std::function<bool()>& condition, int64_t step = 100'000) {
     while (now < limit) {
       if (condition()) return now;
@@ -40,7 +41,7 @@
   int64_t now = 0;
 
  protected:
-  virtual void OnRunEnd() {}  // at the end of each Run
+  virtual void OnRunEnd() {}  // called at the end of each Run
 
  private:
   struct Event {
