--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -1,4 +1,4 @@
-// Merges the updates of other members into the view, and gossips the view's.
+// Handles messages: merges the updates of other members into the view and gossips its own.
 #include "membership/membership.h"
 
 #include <algorithm>
@@ -8,29 +8,30 @@
 namespace lemonchute::membership {
 namespace {
 
-// Average cost of a period at each member: ping and ack in both directions, indirect probes, and a digest
+// Average datagrams per member and period: ping and ack in both directions, indirect probes and a digest
 // exchange.
 constexpr double kMessagesPerPeriod = 6;
-constexpr int kGossipFactor = 4;   // each update is sent so many times the logarithm of the fleet's size
-constexpr size_t kMaxRelays = 32;  // pings in flight for other members
-// A sender is heard up to this share of our rate, so that at least half is left for the others.
+constexpr int kGossipFactor = 4;   // transmissions of an update, in units of log10 of the fleet's size
+constexpr size_t kMaxRelays = 32;  // pings in flight on behalf of other members
+// The share of this member's rate that one sender may use; at least half is left for the others.
 constexpr double kMaxSenderShare = 0.5;
-constexpr uint32_t kEntriesRequest = 1, kEntriesAnswer = 2;  // sequence of a kEntries message
+constexpr uint32_t kEntriesRequest = 1, kEntriesAnswer = 2;  // `sequence` of a kEntries message
 
 }  // namespace
 
 Membership::Membership(const Settings& settings, Micros now)
     : settings_(settings),
-      period_(static_cast<Micros>(1e6 * kMessagesPerPeriod / (settings.in_per_s * settings.share))),
+      period_(static_cast<Micros>(1e6 * kMessagesPerPeriod /
+                                  (settings.receive_limit_per_s * settings.rate_share))),
       started_(now),
-      view_(settings.members, settings.self, now),
+      view_(settings.member_count, settings.self, now),
       random_(settings.seed),
-      peer_records_(settings.members),
+      peer_records_(settings.member_count),
       tokens_(RatePerS()),
       tokens_at_(now) {
-  // Members that start in one instant don't probe in one.
+  // A random phase, so that members that start at the same time don't probe at the same time.
   next_period_ = now + static_cast<Micros>(RandomBelow(static_cast<size_t>(period_)));
-  view_.Take({settings.self, State::kAlive, settings.self, 1, settings.about}, now);
+  view_.Merge({settings.self, State::kAlive, settings.self, 1, settings.version}, now);
 }
 
 size_t Membership::RandomBelow(size_t n) { return n == 0 ? 0 : static_cast<size_t>(random_() % n); }
@@ -38,89 +39,90 @@
 bool Membership::IsPresent(size_t member) const { return view_.At(member).state <= State::kSuspect; }
 
 int Membership::GossipTransmitLimit() const {
-  return kGossipFactor * static_cast<int>(std::ceil(std::log10(static_cast<double>(settings_.members) + 1)));
+  return kGossipFactor *
+         static_cast<int>(std::ceil(std::log10(static_cast<double>(settings_.member_count) + 1)));
 }
 
-void Membership::Refute(Micros now, uint32_t above) {
+void Membership::Refute(Micros now, uint32_t incarnation) {
   if (has_left_) return;
-  Update self = view_.WordOn(settings_.self);
-  self.incarnation = std::min(kMostIncarnation, above + 1);
+  Update self = view_.UpdateFor(settings_.self);
+  self.incarnation = std::min(kMaxIncarnation, incarnation + 1);
   self.state = State::kAlive;
-  self.about = settings_.about;
-  ++counts_.refuted;
-  view_.Take(self, now);
+  self.version = settings_.version;
+  ++counts_.refutations;
+  view_.Merge(self, now);
 }
 
 void Membership::Apply(Micros now, const Update& update, Actions* out) {
   if (update.member == settings_.self) {
     const Entry& self = view_.At(settings_.self);
     bool accused = update.state != State::kAlive && update.incarnation >= self.incarnation;
-    // A previous incarnation, or another process that uses this member's number.
+    // An earlier run of this member, or another process that uses its number.
     bool conflicting = update.incarnation > self.incarnation ||
-                       (update.incarnation == self.incarnation && update.about != self.about);
+                       (update.incarnation == self.incarnation && update.version != self.version);
     if (update.state == State::kSuspect && accused) health_ = std::min(kMaxHealth, health_ + 1);
     if (accused || conflicting) Refute(now, update.incarnation);
     return;
   }
   const Entry before = view_.At(update.member);
-  bool newer = view_.Take(update, now);
+  bool newer = view_.Merge(update, now);
   if (newer && before.state != update.state)
-    out->changes.push_back({update.member, before.state, update.state, update.incarnation, update.by});
-  const Entry& is = view_.At(update.member);
-  if (is.state != State::kSuspect) {
+    out->changes.push_back({update.member, before.state, update.state, update.incarnation, update.reporter});
+  const Entry& after = view_.At(update.member);
+  if (after.state != State::kSuspect) {
     suspicions_.erase(update.member);
     return;
   }
-  if (update.state != State::kSuspect || update.incarnation != is.incarnation) return;
-  auto [suspicion, fresh] = suspicions_.try_emplace(update.member, Suspicion{now, {}, 0});
+  if (update.state != State::kSuspect || update.incarnation != after.incarnation) return;
+  auto [suspicion, inserted] = suspicions_.try_emplace(update.member, Suspicion{now, {}, 0});
   if (newer) suspicion->second = {now, {}, 0};
-  // Each of the first confirmations is gossiped, since it shortens the suspicion.
-  bool confirms =
-      suspicion->second.by.size() <= kMaxConfirmations && suspicion->second.by.insert(update.by).second;
-  if (confirms && !newer) view_.Confirm(update.member, update.by);
+  // The first confirmations are gossiped too, since each shortens the suspicion.
+  bool confirms = suspicion->second.reporters.size() <= kMaxConfirmations &&
+                  suspicion->second.reporters.insert(update.reporter).second;
+  if (confirms && !newer) view_.Confirm(update.member, update.reporter);
 }
 
 bool Membership::ExceedsSenderRate(Micros now, PeerRecord* sender) const {
   double gained = kMaxSenderShare * RatePerS() * 1e-6 * static_cast<double>(now - sender->tokens_at);
-  sender->tokens = sender->at < 0 ? RatePerS() : std::min(RatePerS(), sender->tokens + gained);
+  sender->tokens = sender->received_at < 0 ? RatePerS() : std::min(RatePerS(), sender->tokens + gained);
   sender->tokens_at = now;
   if (sender->tokens < 1) return true;
   sender->tokens -= 1;
   return false;
 }
 
-void Membership::Heard(Micros now, int from, std::span<const uint8_t> bytes, Actions* out) {
-  if (from < 0 || from >= static_cast<int>(settings_.members)) {
-    ++counts_.strangers;
+void Membership::OnDatagram(Micros now, int from, std::span<const uint8_t> bytes, Actions* out) {
+  if (from < 0 || from >= static_cast<int>(settings_.member_count)) {
+    ++counts_.unknown_senders;
     return;
   }
   PeerRecord& sender = peer_records_[static_cast<size_t>(from)];
   if (ExceedsSenderRate(now, &sender)) {
-    ++counts_.flooded;
+    ++counts_.over_sender_rate;
     return;
   }
-  Fault fault = Fault::kNone;
-  std::optional<Message> read = membership::Read(bytes, settings_.members, &fault);
-  if (!read) {
-    ++counts_.bad[static_cast<size_t>(fault)];
+  DecodeError error = DecodeError::kNone;
+  std::optional<Message> decoded = membership::Decode(bytes, settings_.member_count, &error);
+  if (!decoded) {
+    ++counts_.malformed[static_cast<size_t>(error)];
     return;
   }
-  Message& message = *read;
+  Message& message = *decoded;
   if (message.from != from) {
-    ++counts_.misnumbered;
+    ++counts_.sender_mismatches;
     return;
   }
-  sender.at = now;
+  sender.received_at = now;
   sender.digest = message.digest;
   if (from == settings_.self) {
-    ++counts_.claimed;
+    ++counts_.impersonations;
     impersonated_at_ = now;
     return;
   }
-  ++counts_.heard;
-  // Peer lists may differ for a while during a reload, so updates about unknown members are dropped.
-  counts_.beyond += std::erase_if(message.updates, [&](const Update& u) {
-    return u.member >= settings_.members || u.by >= settings_.members;
+  ++counts_.received;
+  // Peer lists may differ during a reload, so updates about unknown members are dropped.
+  counts_.unknown_members += std::erase_if(message.updates, [&](const Update& u) {
+    return u.member >= settings_.member_count || u.reporter >= settings_.member_count;
   });
   for (const Update& update : message.updates) Apply(now, update, out);
   HandleMessage(now, message, out);
@@ -133,7 +135,7 @@
       HandleAck(now, message, out);
       SendDigests(now, message.from, message.digest, out);
       break;
-    case Kind::kAskPing: HandlePingRequest(now, message, out); break;
+    case Kind::kPingRequest: HandlePingRequest(now, message, out); break;
     case Kind::kNack:
       if (probe_.in_flight && message.sequence == probe_.sequence) {
         probe_.nacks_outstanding = std::max(0, probe_.nacks_outstanding - 1);
@@ -144,14 +146,14 @@
   }
 }
 
-// The ack carries what is newer here than the ping's updates.
+// The ack carries the entries that are newer here than the ping's updates.
 void Membership::HandlePing(Micros now, const Message& ping, Actions* out) {
   Message ack;
   ack.kind = Kind::kAck;
   ack.sequence = ping.sequence;
   ack.target = settings_.self;
   for (const Update& update : ping.updates) {
-    Update ours = view_.WordOn(update.member);
+    Update ours = view_.UpdateFor(update.member);
     const bool newer = std::tie(ours.incarnation, ours.state) > std::tie(update.incarnation, update.state);
     if (newer && update.member != settings_.self) ack.updates.push_back(ours);
   }
@@ -159,7 +161,7 @@
   SendDigests(now, ping.from, ping.digest, out);
 }
 
-// An indirect probe: pings the target in the requester's place.
+// An indirect probe: pings the target on behalf of the requester.
 void Membership::HandlePingRequest(Micros now, const Message& request, Actions* out) {
   if (relays_.size() >= kMaxRelays || request.target == settings_.self) return;
   Message ping;
@@ -168,70 +170,72 @@
   relays_.push_back({request.from, request.target, sequence_, request.sequence, now + period_ * 2 / 5});
 }
 
-// Answers with the entries that are different here. An answer itself is not answered.
+// Answers a request with the entries that differ here. Answers are not answered.
 void Membership::HandleEntries(Micros now, const Message& entries, Actions* out) {
   if (entries.sequence != kEntriesRequest) return;
   Message answer;
   answer.kind = Kind::kEntries;
   answer.sequence = kEntriesAnswer;
   for (const Update& update : entries.updates) {
-    Update ours = view_.WordOn(update.member);
+    Update ours = view_.UpdateFor(update.member);
     if (ours != update && update.member != settings_.self) answer.updates.push_back(ours);
   }
   if (!answer.updates.empty()) Send(now, entries.from, std::move(answer), out);
 }
 
-void Membership::SendDigests(Micros now, uint16_t with, uint64_t digest, Actions* out) {
-  if (digest == view_.digest() || now < next_repair_) return;
+void Membership::SendDigests(Micros now, uint16_t peer, uint64_t peer_digest, Actions* out) {
+  if (peer_digest == view_.digest() || now < next_repair_) return;
   next_repair_ = now + period_;
   Message digests;
   digests.kind = Kind::kDigests;
-  digests.parts.assign(view_.parts().begin(), view_.parts().end());
-  if (Send(now, with, std::move(digests), out)) ++counts_.repairs;
+  digests.part_digests.assign(view_.part_digests().begin(), view_.part_digests().end());
+  if (Send(now, peer, std::move(digests), out)) ++counts_.repairs;
 }
 
-// Sends entries of one part that differs, from a random offset, so that several rounds cover the part.
-void Membership::HandleDigests(Micros now, const Message& m, Actions* out) {
-  if (m.parts.empty()) return;
-  size_t first = RandomBelow(kParts);
-  for (size_t i = 0; i < kParts; ++i) {
-    size_t part = (first + i) % kParts;
-    if (m.parts[part] == view_.parts()[part]) continue;
+// Sends entries of one differing part, starting at a random offset so that repeated rounds cover the part.
+void Membership::HandleDigests(Micros now, const Message& message, Actions* out) {
+  if (message.part_digests.empty()) return;
+  size_t first = RandomBelow(kViewParts);
+  for (size_t i = 0; i < kViewParts; ++i) {
+    size_t part = (first + i) % kViewParts;
+    if (message.part_digests[part] == view_.part_digests()[part]) continue;
     std::vector<size_t> members;
-    for (size_t member = part; member < settings_.members; member += kParts) members.push_back(member);
+    for (size_t member = part; member < settings_.member_count; member += kViewParts)
+      members.push_back(member);
     Message entries;
     entries.kind = Kind::kEntries;
     entries.sequence = kEntriesRequest;
     size_t from = RandomBelow(members.size());
     for (size_t n = 0; n < std::min(members.size(), UpdatesThatFit(false) - 2); ++n)
-      entries.updates.push_back(view_.WordOn(members[(from + n) % members.size()]));
-    Send(now, m.from, std::move(entries), out);
+      entries.updates.push_back(view_.UpdateFor(members[(from + n) % members.size()]));
+    Send(now, message.from, std::move(entries), out);
     return;
   }
 }
 
-bool Membership::Send(Micros now, uint16_t to, Message m, Actions* out) {
-  // Every sender keeps to its rate, so no member receives more than that on average.
+bool Membership::Send(Micros now, uint16_t to, Message message, Actions* out) {
+  // Every member limits what it sends, so that on average none receives more than that rate.
   tokens_ = std::min(RatePerS(), tokens_ + RatePerS() * 1e-6 * static_cast<double>(now - tokens_at_));
   tokens_at_ = now;
   if (tokens_ < 1) {
-    ++counts_.paced;
+    ++counts_.rate_limited;
     return false;
   }
   tokens_ -= 1;
-  m.from = settings_.self;
-  m.digest = view_.digest();
-  // Always our own state, and the receiver's where it is suspected, so that it can refute (Lifeguard's buddy
-  // system).
-  m.updates.insert(m.updates.begin(), view_.WordOn(settings_.self));
-  if (view_.At(to).state != State::kAlive) m.updates.insert(m.updates.begin() + 1, view_.WordOn(to));
-  size_t room = UpdatesThatFit(!m.parts.empty());
-  if (m.updates.size() < room) {
-    for (const Update& update : view_.ToSpread(room - m.updates.size(), GossipTransmitLimit()))
-      m.updates.push_back(update);
+  message.from = settings_.self;
+  message.digest = view_.digest();
+  // Always includes our own state, and the receiver's unless it is alive, so that it can refute (Lifeguard's
+  // buddy system).
+  message.updates.insert(message.updates.begin(), view_.UpdateFor(settings_.self));
+  if (view_.At(to).state != State::kAlive)
+    message.updates.insert(message.updates.begin() + 1, view_.UpdateFor(to));
+  size_t room = UpdatesThatFit(!message.part_digests.empty());
+  if (message.updates.size() < room) {
+    for (const Update& update : view_.TakeGossip(room - message.updates.size(), GossipTransmitLimit()))
+      message.updates.push_back(update);
   }
   ++counts_.sent;
-  out->send.push_back({to, Write(m)});
+  out->send.push_back({to, Encode(message)});
   return true;
 }
 
@@ -239,9 +243,9 @@
   if (has_left_) return;
   has_left_ = true;
   probe_.in_flight = false;
-  Update self = view_.WordOn(settings_.self);
+  Update self = view_.UpdateFor(settings_.self);
   self.state = State::kLeft;
-  view_.Take(self, now);
+  view_.Merge(self, now);
   for (uint16_t other : RandomPeers(static_cast<size_t>(GossipTransmitLimit()), -1)) {
     Message ping;
     ping.sequence = ++sequence_;
@@ -249,31 +253,32 @@
   }
 }
 
-void Membership::Return(Micros now) {
+void Membership::Rejoin(Micros now) {
   if (!has_left_) return;
   has_left_ = false;
   Refute(now, view_.At(settings_.self).incarnation);
 }
 
-void Membership::Resize(Micros now, size_t members) {
-  settings_.members = members;
-  view_.Resize(members, now);
-  peer_records_.resize(members);
+void Membership::Resize(Micros now, size_t member_count) {
+  settings_.member_count = member_count;
+  view_.Resize(member_count, now);
+  peer_records_.resize(member_count);
   probe_order_.clear();
   next_target_ = 0;
-  if (probe_.target >= members) probe_.in_flight = false;
-  std::erase_if(suspicions_, [&](const auto& one) { return one.first >= members; });
-  std::erase_if(relays_, [&](const Relay& r) { return r.requester >= members || r.target >= members; });
+  if (probe_.target >= member_count) probe_.in_flight = false;
+  std::erase_if(suspicions_, [&](const auto& one) { return one.first >= member_count; });
+  std::erase_if(relays_,
+                [&](const Relay& r) { return r.requester >= member_count || r.target >= member_count; });
 }
 
-void Membership::Tell(Micros now, const About& about) {
-  if (settings_.about == about) return;
-  settings_.about = about;
-  if (has_left_) return;  // said on its return
-  Update self = view_.WordOn(settings_.self);
-  self.about = about;
-  self.incarnation = std::min(kMostIncarnation, self.incarnation + 1);
-  view_.Take(self, now);
+void Membership::SetVersion(Micros now, const SoftwareVersion& version) {
+  if (settings_.version == version) return;
+  settings_.version = version;
+  if (has_left_) return;  // announced by Rejoin
+  Update self = view_.UpdateFor(settings_.self);
+  self.version = version;
+  self.incarnation = std::min(kMaxIncarnation, self.incarnation + 1);
+  view_.Merge(self, now);
 }
 
 }  // namespace lemonchute::membership
--- a/src/membership/probing.cpp
+++ b/src/membership/probing.cpp
@@ -1,5 +1,5 @@
-// Failure detection: a ping at a period's start, indirect probes at its half, a suspicion at its end, and
-// the suspicions' timeouts.
+// Failure detection: a ping at the start of a period, indirect probes at its half, a suspicion at its end,
+// and the timeouts of suspicions.
 #include <algorithm>
 #include <cmath>
 
@@ -8,33 +8,38 @@
 namespace lemonchute::membership {
 namespace {
 
-constexpr size_t kIndirectProbes = 3;  // k in the papers
-// The shortest suspicion in units of log(n) periods, and the longest in units of the shortest (Lifeguard).
+constexpr size_t kIndirectProbes = 3;  // k in SWIM and Lifeguard
+// Lifeguard's alpha and beta: the minimum suspicion timeout in units of log10(n) periods, and the maximum in
+// units of the minimum.
 constexpr double kSuspicionAlpha = 4, kSuspicionBeta = 6;
-constexpr Micros kStallFraction = 4;  // a tick that is late by more than 1/4 of a period is a stall
-// Peers are asked about a suspect at half of the suspicion, and twice more after half of the time that is
-// left. The suspect itself is not asked: in a large fleet all members would ask it within a second.
+constexpr Micros kStallFraction = 4;  // a tick late by more than 1/4 of a period is a stall
+// Peers are queried about a suspect at half of the suspicion, and twice more at half of the remaining time.
+// The suspect itself is not queried: in a large fleet all members would query it within a second.
 constexpr int kMaxSuspicionQueries = 3;
-constexpr size_t kDeadProbePeriods = 4;  // a dead member is pinged in one of so many periods
+constexpr size_t kDeadProbePeriods = 4;  // a dead member is pinged in one of 4 periods, on average
 
-double FleetScale(size_t members) { return std::max(1.0, std::log10(static_cast<double>(members))); }
+double LogFleetSize(size_t members) { return std::max(1.0, std::log10(static_cast<double>(members))); }
 
 }  // namespace
 
-Micros Membership::LeastSuspicion() const {
-  size_t there = view_.Count(State::kAlive) + view_.Count(State::kSuspect);
-  return static_cast<Micros>(kSuspicionAlpha * FleetScale(there) * static_cast<double>(period_));
+Micros Membership::MinSuspicionTimeout() const {
+  size_t present = view_.Count(State::kAlive) + view_.Count(State::kSuspect);
+  return static_cast<Micros>(kSuspicionAlpha * LogFleetSize(present) * static_cast<double>(period_));
 }
 
-Micros Membership::MostSuspicion() const { return static_cast<Micros>(kSuspicionBeta) * LeastSuspicion(); }
+Micros Membership::MaxSuspicionTimeout() const {
+  return static_cast<Micros>(kSuspicionBeta) * MinSuspicionTimeout();
+}
 
 Micros Membership::SuspicionEnd(const Suspicion& suspicion) const {
-  auto least = static_cast<double>(LeastSuspicion()), most = static_cast<double>(MostSuspicion());
-  size_t needed = std::min(kMaxConfirmations, settings_.members < 3 ? 0 : settings_.members - 2);
-  if (needed == 0) return suspicion.since + static_cast<Micros>(least);
-  auto more = static_cast<double>(suspicion.by.empty() ? 0 : suspicion.by.size() - 1);
-  double wait = most - (most - least) * std::log(more + 1) / std::log(static_cast<double>(needed) + 1);
-  return suspicion.since + static_cast<Micros>(std::max(least, wait));
+  auto min_timeout = static_cast<double>(MinSuspicionTimeout()),
+       max_timeout = static_cast<double>(MaxSuspicionTimeout());
+  size_t needed = std::min(kMaxConfirmations, settings_.member_count < 3 ? 0 : settings_.member_count - 2);
+  if (needed == 0) return suspicion.since + static_cast<Micros>(min_timeout);
+  auto confirmations = static_cast<double>(suspicion.reporters.empty() ? 0 : suspicion.reporters.size() - 1);
+  double wait = max_timeout - (max_timeout - min_timeout) * std::log(confirmations + 1) /
+                                  std::log(static_cast<double>(needed) + 1);
+  return suspicion.since + static_cast<Micros>(std::max(min_timeout, wait));
 }
 
 Micros Membership::SuspicionQueryTime(const Suspicion& suspicion) const {
@@ -42,7 +47,7 @@
   return end - ((end - suspicion.since) >> (suspicion.queries + 1));
 }
 
-Micros Membership::NextAt() const {
+Micros Membership::NextTickAt() const {
   Micros next = next_period_;
   if (probe_.in_flight && !probe_.indirect_sent) next = std::min(next, probe_.indirect_at);
   for (const auto& [member, suspicion] : suspicions_)
@@ -53,7 +58,7 @@
 }
 
 void Membership::Tick(Micros now, Actions* out) {
-  Micros due = NextAt();
+  Micros due = NextTickAt();
   if (now < due) return;
   if (now - due > period_ / kStallFraction) RecoverFromStall(now, now - due);
   if (probe_.in_flight && !probe_.indirect_sent && now >= probe_.indirect_at) SendIndirectProbes(now, out);
@@ -65,9 +70,9 @@
   }
   QueryAboutSuspects(now, out);
   for (uint16_t member : expired) {
-    Update dead = view_.WordOn(member);
+    Update dead = view_.UpdateFor(member);
     dead.state = State::kDead;
-    dead.by = settings_.self;
+    dead.reporter = settings_.self;
     Apply(now, dead, out);
   }
   if (now >= next_period_) {
@@ -76,13 +81,13 @@
   }
 }
 
-// This process was stopped or starved. Answers that it waits for may be unread, so they accuse nobody.
-void Membership::RecoverFromStall(Micros now, Micros late) {
-  ++counts_.held_up;
+// This process was stopped or starved. Awaited answers may still be unread, so their absence proves nothing.
+void Membership::RecoverFromStall(Micros now, Micros lateness) {
+  ++counts_.stalls;
   health_ = std::min(kMaxHealth, health_ + 1);
   probe_.in_flight = false;
   relays_.clear();
-  for (auto& [member, suspicion] : suspicions_) suspicion.since += late;
+  for (auto& [member, suspicion] : suspicions_) suspicion.since += lateness;
   next_period_ = now;
 }
 
@@ -96,19 +101,19 @@
     relays_.erase(relays_.begin() + static_cast<std::ptrdiff_t>(i));
     Message nack;
     nack.kind = Kind::kNack;
-    nack.sequence = relay.asker_sequence;
+    nack.sequence = relay.requester_sequence;
     nack.target = relay.target;
     Send(now, relay.requester, std::move(nack), out);
   }
 }
 
-// One ping to a random peer with all the suspicions that are due; the ack brings what is newer there.
+// Sends one ping with all suspicions that are due to a random peer; its ack carries what is newer there.
 void Membership::QueryAboutSuspects(Micros now, Actions* out) {
   Message ping;
   for (auto& [member, suspicion] : suspicions_) {
     if (suspicion.queries == kMaxSuspicionQueries || now < SuspicionQueryTime(suspicion)) continue;
     ++suspicion.queries;
-    ping.updates.push_back(view_.WordOn(member));
+    ping.updates.push_back(view_.UpdateFor(member));
   }
   if (ping.updates.empty()) return;
   const std::vector<uint16_t> peers = RandomPeers(1, -1);
@@ -118,12 +123,12 @@
 }
 
 // Randomized round robin: each round probes every member once, in a new order.
-// @return -1 where nobody else is present.
+// @return -1 if no other member is present.
 int Membership::NextProbeTarget() {
-  for (size_t looked = 0; looked <= settings_.members; ++looked) {
+  for (size_t checked = 0; checked <= settings_.member_count; ++checked) {
     if (next_target_ >= probe_order_.size()) {
       probe_order_.clear();
-      for (size_t m = 0; m < settings_.members; ++m) {
+      for (size_t m = 0; m < settings_.member_count; ++m) {
         if (m != settings_.self && IsPresent(m)) probe_order_.push_back(static_cast<uint16_t>(m));
       }
       for (size_t i = probe_order_.size(); i > 1; --i)
@@ -140,9 +145,9 @@
 void Membership::StartProbePeriod(Micros now, Actions* out) {
   next_period_ = now + period_ * (1 + health_);
   if (RandomBelow(kDeadProbePeriods) == 0 && view_.Count(State::kDead) > 0) {
-    size_t at = RandomBelow(view_.Count(State::kDead));
-    for (size_t m = 0; m < settings_.members; ++m) {
-      if (view_.At(m).state != State::kDead || at-- > 0) continue;
+    size_t dead_index = RandomBelow(view_.Count(State::kDead));
+    for (size_t m = 0; m < settings_.member_count; ++m) {
+      if (view_.At(m).state != State::kDead || dead_index-- > 0) continue;
       Message ping;
       ping.sequence = ++sequence_;
       Send(now, static_cast<uint16_t>(m), std::move(ping), out);
@@ -161,27 +166,28 @@
   counts_.probes += probe_.in_flight ? 1 : 0;
 }
 
-std::vector<uint16_t> Membership::RandomPeers(size_t most, int but) {
+std::vector<uint16_t> Membership::RandomPeers(size_t max_count, int excluded) {
   std::vector<uint16_t> all;
-  for (size_t m = 0; m < settings_.members; ++m) {
-    bool fit = m != settings_.self && static_cast<int>(m) != but && view_.At(m).state == State::kAlive;
-    if (fit) all.push_back(static_cast<uint16_t>(m));
+  for (size_t m = 0; m < settings_.member_count; ++m) {
+    bool eligible =
+        m != settings_.self && static_cast<int>(m) != excluded && view_.At(m).state == State::kAlive;
+    if (eligible) all.push_back(static_cast<uint16_t>(m));
   }
-  for (size_t i = 0; i < std::min(most, all.size()); ++i)
+  for (size_t i = 0; i < std::min(max_count, all.size()); ++i)
     std::swap(all[i], all[i + RandomBelow(all.size() - i)]);
-  all.resize(std::min(most, all.size()));
+  all.resize(std::min(max_count, all.size()));
   return all;
 }
 
 void Membership::SendIndirectProbes(Micros now, Actions* out) {
   probe_.indirect_sent = true;
   for (uint16_t helper : RandomPeers(kIndirectProbes, probe_.target)) {
-    Message ask;
-    ask.kind = Kind::kAskPing;
-    ask.target = probe_.target;
-    ask.sequence = probe_.sequence;
-    if (!Send(now, helper, std::move(ask), out)) continue;
-    ++counts_.indirect;
+    Message request;
+    request.kind = Kind::kPingRequest;
+    request.target = probe_.target;
+    request.sequence = probe_.sequence;
+    if (!Send(now, helper, std::move(request), out)) continue;
+    ++counts_.indirect_probes;
     ++probe_.nacks_outstanding;
   }
 }
@@ -189,31 +195,31 @@
 void Membership::FailPendingProbe(Micros now, Actions* out) {
   if (!probe_.in_flight) return;
   probe_.in_flight = false;
-  ++counts_.failed;
-  // Lifeguard's local health: helpers that sent no nack either suggest that this member is at fault.
+  ++counts_.failed_probes;
+  // Lifeguard's local health: missing nacks of the helpers suggest that this member itself is at fault.
   health_ = std::min(kMaxHealth, health_ + probe_.nacks_outstanding);
   Suspect(now, probe_.target, out);
 }
 
 void Membership::Suspect(Micros now, uint16_t member, Actions* out) {
-  Update word = view_.WordOn(member);
-  if (word.state > State::kSuspect) return;
-  word.state = State::kSuspect;
-  word.by = settings_.self;
-  Apply(now, word, out);
+  Update update = view_.UpdateFor(member);
+  if (update.state > State::kSuspect) return;
+  update.state = State::kSuspect;
+  update.reporter = settings_.self;
+  Apply(now, update, out);
 }
 
-void Membership::HandleAck(Micros now, const Message& m, Actions* out) {
-  if (probe_.in_flight && m.sequence == probe_.sequence && m.target == probe_.target) {
+void Membership::HandleAck(Micros now, const Message& message, Actions* out) {
+  if (probe_.in_flight && message.sequence == probe_.sequence && message.target == probe_.target) {
     probe_.in_flight = false;
     health_ = std::max(0, health_ - 1);
     return;
   }
   for (size_t i = 0; i < relays_.size(); ++i) {
-    if (relays_[i].sequence != m.sequence || relays_[i].target != m.from) continue;
+    if (relays_[i].sequence != message.sequence || relays_[i].target != message.from) continue;
     Message ack;
     ack.kind = Kind::kAck;
-    ack.sequence = relays_[i].asker_sequence;
+    ack.sequence = relays_[i].requester_sequence;
     ack.target = relays_[i].target;
     uint16_t requester = relays_[i].requester;
     relays_.erase(relays_.begin() + static_cast<std::ptrdiff_t>(i));
