--- a/src/net/admin_api.cpp
+++ b/src/net/admin_api.cpp
@@ -30,7 +30,7 @@
     return is_get ? AdminResponse{200, RenderMetrics()} : MethodNotAllowed("GET");
   }
   if (auto response = config_.HandleAdminCall(request)) return *response;
-  if (auto response = members_.OnCall(request)) return *response;
+  if (auto response = members_.HandleAdminCall(request)) return *response;
   if (path == "/control/out-of-service") return is_put ? TakeOutOfService() : MethodNotAllowed("PUT");
   if (path == "/control/in-service") return is_put ? ReturnToService() : MethodNotAllowed("PUT");
   if (auto response = HandleBackend(request, path)) return *response;
@@ -85,7 +85,7 @@
   line("active", gauges.active_requests);
   line("pool_size", gauges.listed_backends);
   line("pool_ejected", gauges.unavailable_backends);
-  config_.ReportMetrics(line);
+  config_.AppendMetrics(line);
   members_.AppendMetrics(line);
   return text;
 }
--- a/src/net/client_call.cpp
+++ b/src/net/client_call.cpp
@@ -86,8 +86,8 @@
   if (target.empty() || target.front() != '/') return call;
   policy::Request& request = call.request;
   std::string_view path = target.substr(1, std::min(target.find_first_of("/?#", 1), target.size()) - 1);
-  request.class_index = Position(config.site.classes, config::PlainName(Unescaped(path)));
-  request.plan_index = Position(config.site.plans, config::PlainName(View(message["X-Tier"])));
+  request.class_index = Position(config.socket_settings.classes, config::PlainName(Unescaped(path)));
+  request.plan_index = Position(config.socket_settings.plans, config::PlainName(View(message["X-Tier"])));
   if (request.class_index < 0 || request.plan_index < 0) return call;
   if (View(message["Request-Id"]).empty()) return call;
   if (!ParseCustomer(message, &request.customer_id)) return call;
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -111,7 +111,7 @@
 
 }  // namespace
 
-std::string Flatten(const json& settings) {
+std::string FlattenSettings(const json& settings) {
   std::string out;
   FlattenInto("", settings, &out);
   return out;
@@ -136,9 +136,9 @@
   peers.self = settings.at("me").get<uint16_t>();
   peers.listen = endpoint("peer_listen", all.at("peer_listen"));
   for (const json& peer : all.at("peers")) peers.peers.push_back(endpoint("peers", peer));
-  peers.in_per_s = settings.at("specifics").at("peer-in-per-s").get<double>();
-  peers.share = all.at("extensions").at("membership").value("share", kMembershipShare);
-  peers.config = config::FleetId(all);
+  peers.max_datagrams_per_s = settings.at("specifics").at("peer-in-per-s").get<double>();
+  peers.membership_share = all.at("extensions").at("membership").value("share", kMembershipShare);
+  peers.fleet_config_id = config::FleetId(all);
   return peers;
 }
 
@@ -154,7 +154,7 @@
     config.counter = ParseAddress("counter", Text(all, "counter"));
     config.has_counter = true;
   }
-  if (all.contains("ops") && !all.at("ops").is_null()) config.ops = ParseAddress("ops", Text(all, "ops"));
+  if (all.contains("ops") && !all.at("ops").is_null()) config.admin = ParseAddress("ops", Text(all, "ops"));
   std::string seed = Text(all, "seed");
   auto [end, bad] = std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16);
   if (bad != std::errc() || end != seed.data() + seed.size()) {
@@ -169,16 +169,16 @@
       if (!fits) throw ProtocolError(std::string("setting is unreadable: limits.") + name);
       *value = it->get<int>();
     };
-    whole("sockets", 64, &config.sockets);
+    whole("sockets", 64, &config.max_descriptors);
     whole("memory_mb", 1, &config.memory_mb);
   }
-  if (auto known = all.find("known"); known != all.end()) config.known = *known;
+  if (auto known = all.find("known"); known != all.end()) config.initial_endpoints = *known;
   auto settings = all.find("settings");
   if (settings == all.end()) throw ProtocolError("setting is missing: settings");
   if (!settings->is_object()) throw ProtocolError("setting is unreadable: settings");
-  std::string flat = Flatten(*settings);
+  std::string flat = FlattenSettings(*settings);
   config.settings = policy::ParseSettings(flat);
-  config.site = policy::ParseSocketSettings(flat);
+  config.socket_settings = policy::ParseSocketSettings(flat);
   if (config.settings.counter_enabled && !config.has_counter)
     throw ProtocolError("setting is missing: counter");
   if (all.contains("extensions") && all.at("extensions").contains("membership"))
@@ -186,31 +186,32 @@
   return config;
 }
 
-Merged MergeSettings(const Config& current, Config fresh, const policy::SettingsIndices& in_use) {
-  Merged out;
-  const policy::SocketSettings& had = current.site;
-  policy::SocketSettings& has = fresh.site;
+MergedSettings MergeSettings(const Config& current, Config fresh, const policy::SettingsIndices& in_use) {
+  MergedSettings out;
+  const policy::SocketSettings& had = current.socket_settings;
+  policy::SocketSettings& has = fresh.socket_settings;
   std::vector<int> where;
   Place(
       had.classes, current.settings.classes, in_use.classes, &has.classes, &fresh.settings.classes,
-      &out.renewed.classes, &where, [](const auto& was, const auto& is) { return was == is; },
+      &out.newly_assigned.classes, &where, [](const auto& was, const auto& is) { return was == is; },
       [](auto* removed) {
         removed->priority_weight = 0;  // nobody asks for it any more, so nothing is to be kept free for it
         removed->removed = true;
       });
   Place(
-      had.plans, current.settings.plans, in_use.plans, &has.plans, &fresh.settings.plans, &out.renewed.plans,
-      &where, [](const auto&, const auto&) { return true; }, [](auto* removed) { removed->removed = true; });
+      had.plans, current.settings.plans, in_use.plans, &has.plans, &fresh.settings.plans,
+      &out.newly_assigned.plans, &where, [](const auto&, const auto&) { return true; },
+      [](auto* removed) { removed->removed = true; });
   PlaceNames(had.kinds, in_use.kinds, &has.kinds, &where);
   PlaceNames(had.zones, in_use.zones, &has.zones, &where);
   if (static_cast<size_t>(fresh.settings.zone) < where.size()) {
     fresh.settings.zone = where[static_cast<size_t>(fresh.settings.zone)];
   }
   fresh.seed = current.seed;
-  fresh.ops = current.ops;
-  fresh.folder = current.folder;
+  fresh.admin = current.admin;
+  fresh.state_folder = current.state_folder;
   fresh.passed_socket = current.passed_socket;
-  fresh.known = nullptr;
+  fresh.initial_endpoints = nullptr;
   out.config = std::move(fresh);
   return out;
 }
@@ -220,8 +221,8 @@
     const char* value = std::getenv(name);
     return std::string(value == nullptr ? "" : value);
   };
-  if (std::string ops = text("LB_OPS"); !ops.empty()) config->ops = ParseAddress("LB_OPS", ops);
-  config->folder = text("TMPDIR");
+  if (std::string ops = text("LB_OPS"); !ops.empty()) config->admin = ParseAddress("LB_OPS", ops);
+  config->state_folder = text("TMPDIR");
   if (std::string passed = text("LB_PASSED_SOCKET"); !passed.empty()) {
     auto [end, bad] = std::from_chars(passed.data(), passed.data() + passed.size(), config->passed_socket);
     if (bad != std::errc() || end != passed.data() + passed.size()) config->passed_socket = kPassedSocket;
--- a/src/net/config.h
+++ b/src/net/config.h
@@ -22,8 +22,9 @@
   uint16_t self = 0;
   boost::asio::ip::udp::endpoint listen;
   std::vector<boost::asio::ip::udp::endpoint> peers;  // by number
-  double in_per_s = 0, share = 0;                     // datagrams that each takes; membership's part of them
-  uint32_t config = 0;                                // id of what the fleet's configurations have in common
+  double max_datagrams_per_s = 0,
+         membership_share = 0;   // datagrams that each takes; membership's part of them
+  uint32_t fleet_config_id = 0;  // id of what the fleet's configurations have in common
 };
 
 struct Config {
@@ -32,35 +33,35 @@
   tcp::endpoint discovery;
   tcp::endpoint counter;
   bool has_counter = false;
-  std::optional<tcp::endpoint> ops;  // none: no door for operators
+  std::optional<tcp::endpoint> admin;  // none: no door for operators
   uint64_t seed = 0;
-  int sockets = 1024;
+  int max_descriptors = 1024;
   int memory_mb = 192;
   std::optional<PeerConfig> membership;  // none: off
-  int passed_socket = -1;  // a descriptor that listens for clients already, held by other processes too
-  std::string folder;      // for files that the next process finds; empty: none
-  nlohmann::json known;    // null where the gateway has no list yet
+  int passed_socket = -1;    // a descriptor that listens for clients already, held by other processes too
+  std::string state_folder;  // for files that the next process finds; empty: none
+  nlohmann::json initial_endpoints;  // null where the gateway has no list yet
   policy::Settings settings;
-  policy::SocketSettings site;  // an empty name: a class or plan that the settings have dropped
+  policy::SocketSettings socket_settings;  // an empty name: a class or plan that the settings have dropped
 };
 
 // "10.0.0.4:5000"; throws policy::WireError naming `key` on anything else.
 tcp::endpoint ParseAddress(const std::string& key, const std::string& text);
 
 // The path=value lines that ParseSettings reads, from the nested form of the same settings.
-std::string Flatten(const nlohmann::json& settings);
+std::string FlattenSettings(const nlohmann::json& settings);
 
 // What a new configuration becomes beside the one that runs: its classes, plans, zones and kinds in places
 // that nothing else has.
-struct Merged {
+struct MergedSettings {
   Config config;
-  policy::SettingsIndices renewed;  // places that were another's, or are new
+  policy::SettingsIndices newly_assigned;  // places that were another's, or are new
 };
 
 // What stays, keeps its place: a class that is as it was, a plan, zone or kind by its name. What the settings
 // drop keeps its place, without a name, as long as `in_use` says that something refers to it. The rest has
 // the places that are free, and new ones after all that there were. Keeps what the process has for itself.
-Merged MergeSettings(const Config& current, Config fresh, const policy::SettingsIndices& in_use);
+MergedSettings MergeSettings(const Config& current, Config fresh, const policy::SettingsIndices& in_use);
 
 // Of a document that CheckConfig found sound. Throws policy::WireError all the same on what is
 // missing or unreadable.
--- a/src/net/configuration_manager.cpp
+++ b/src/net/configuration_manager.cpp
@@ -341,7 +341,7 @@
   return revisions_->ConfirmationTimeLeftS(Now());
 }
 
-void ConfigurationManager::ReportMetrics(
+void ConfigurationManager::AppendMetrics(
     const std::function<void(const std::string& name, uint64_t value)>& line) {
   const config::State& state = revisions_->state();
   line("config_applied", counters_.applied);
--- a/src/net/configuration_manager.h
+++ b/src/net/configuration_manager.h
@@ -64,7 +64,7 @@
 
   // @return nothing for a path outside /control/config.
   std::optional<AdminResponse> HandleAdminCall(const AdminRequest& call);
-  void ReportMetrics(const std::function<void(const std::string& name, uint64_t value)>& line);
+  void AppendMetrics(const std::function<void(const std::string& name, uint64_t value)>& line);
 
   // Operators' updates.
   UpdateResult Update(const config::UpdateRequest& request);
--- a/src/net/counter_calls.cpp
+++ b/src/net/counter_calls.cpp
@@ -12,7 +12,7 @@
 std::unique_ptr<CounterClient> CounterCalls::Prepare(const Config& config) {
   if (!config.has_counter || client_) return nullptr;
   return std::make_unique<CounterClient>(
-      io_, config.counter, config.settings.counter_timeout_s, config.site.connect_timeout_s,
+      io_, config.counter, config.settings.counter_timeout_s, config.socket_settings.connect_timeout_s,
       [this](const policy::CounterResponse& response) { OnResponse(response); });
 }
 
@@ -25,8 +25,8 @@
 void CounterCalls::Commit(const Config& config, std::unique_ptr<CounterClient> prepared) {
   if (!config.has_counter) return;
   Start(std::move(prepared));
-  client_->SetLimits(config.settings.counter_timeout_s, config.site.connect_timeout_s);
-  client_->Move(config.counter);
+  client_->SetLimits(config.settings.counter_timeout_s, config.socket_settings.connect_timeout_s);
+  client_->SetAddress(config.counter);
 }
 
 void CounterCalls::OnResponse(const policy::CounterResponse& response) {
--- a/src/net/counter_client.cpp
+++ b/src/net/counter_client.cpp
@@ -270,7 +270,7 @@
   return open != nullptr ? open : connecting;
 }
 
-void CounterClient::Move(const tcp::endpoint& address) {
+void CounterClient::SetAddress(const tcp::endpoint& address) {
   if (address == address_) return;
   address_ = address;
   backoff_ = {};
--- a/src/net/counter_client.h
+++ b/src/net/counter_client.h
@@ -28,7 +28,7 @@
   /// Opens a first connection, so that no call waits for it.
   void Start();
   /// Sends calls to another address from now on. Calls in flight may still be answered by the old one.
-  void Move(const tcp::endpoint& address);
+  void SetAddress(const tcp::endpoint& address);
   /// Sets the limits of later calls and connections.
   void SetLimits(double timeout_s, double connect_timeout_s);
   /// Adds `amount` to a counter and asks for its total.
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -31,11 +31,11 @@
 }  // namespace
 
 DiscoveryClient::DiscoveryClient(asio::io_context& io, tcp::endpoint address,
-                                 std::shared_ptr<const policy::SocketSettings> site, BackendIds* ids,
-                                 OnList on_list, OnFailed on_failed, uint64_t seed)
+                                 std::shared_ptr<const policy::SocketSettings> socket_settings,
+                                 BackendIds* ids, OnList on_list, OnFailed on_failed, uint64_t seed)
     : io_(io),
       address_(address),
-      site_(std::move(site)),
+      socket_settings_(std::move(socket_settings)),
       ids_(ids),
       on_list_(std::move(on_list)),
       on_failed_(std::move(on_failed)),
@@ -43,9 +43,10 @@
       timer_(io),
       rng_(seed) {}
 
-void DiscoveryClient::SetSite(std::shared_ptr<const policy::SocketSettings> site) {
-  bool renamed = site->zones != site_->zones || site->kinds != site_->kinds;
-  site_ = std::move(site);
+void DiscoveryClient::SetSocketSettings(std::shared_ptr<const policy::SocketSettings> socket_settings) {
+  bool renamed =
+      socket_settings->zones != socket_settings_->zones || socket_settings->kinds != socket_settings_->kinds;
+  socket_settings_ = std::move(socket_settings);
   if (!renamed) return;
   snapshot_next_ = true;  // earlier lists were parsed with the old names
   Restart();
@@ -70,7 +71,7 @@
   CloseNow(socket_);
 }
 
-void DiscoveryClient::Move(const tcp::endpoint& address) {
+void DiscoveryClient::SetAddress(const tcp::endpoint& address) {
   if (address == address_) return;
   address_ = address;
   snapshot_due_ = Clock::now() + RandomUpTo(kSnapshotSpread);
@@ -91,9 +92,9 @@
 }
 
 Clock::duration DiscoveryClient::MaxBackoff() const {
-  if (!site_->discovery_pushes) return kMaxBackoff;
-  return std::clamp<Clock::duration>(Seconds(kMaxBackoffGraceShare * site_->drain_grace_s), kMinBackoff,
-                                     kMaxBackoff);
+  if (!socket_settings_->discovery_pushes) return kMaxBackoff;
+  return std::clamp<Clock::duration>(Seconds(kMaxBackoffGraceShare * socket_settings_->drain_grace_s),
+                                     kMinBackoff, kMaxBackoff);
 }
 
 void DiscoveryClient::Poll() {
@@ -166,13 +167,13 @@
   if (parser_->get().result_int() != 200) return OnFailure(true);
   BackendList list;
   try {
-    list = ParseList(nlohmann::json::parse(parser_->get().body()), *site_, ids_);
+    list = ParseBackendList(nlohmann::json::parse(parser_->get().body()), *socket_settings_, ids_);
   } catch (const std::exception&) {
     return OnFailure();  // a malformed list changes nothing
   }
-  if (snapshot_next_ && !list.full) return OnFailure();
+  if (snapshot_next_ && !list.is_snapshot) return OnFailure();
   if (!parser_->keep_alive() || buffer_.size() > 0) CloseNow(socket_);
-  if (list.full) snapshot_due_.reset();
+  if (list.is_snapshot) snapshot_due_.reset();
   snapshot_next_ = resuming_ = false;
   index_ = list.index;
   backoff_ = {};
--- a/src/net/discovery_client.h
+++ b/src/net/discovery_client.h
@@ -18,7 +18,8 @@
 /// Polls discovery over one connection and retries whatever fails. Must outlive every handler of `io` that it
 /// has queued.
 ///
-/// Order of calls: Resume if a version is known, then Start; Move, SetSite and Stop at any time.
+/// Order of calls: Resume if a version is known, then Start; SetAddress, SetSocketSettings and Stop at any
+/// time.
 class DiscoveryClient {
  public:
   using OnList = std::function<void(BackendList)>;
@@ -29,8 +30,8 @@
   /// @param on_failed called after each call that failed
   /// @param seed of the random part of the backoff
   DiscoveryClient(asio::io_context& io, tcp::endpoint address,
-                  std::shared_ptr<const policy::SocketSettings> site, BackendIds* ids, OnList on_list,
-                  OnFailed on_failed, uint64_t seed);
+                  std::shared_ptr<const policy::SocketSettings> socket_settings, BackendIds* ids,
+                  OnList on_list, OnFailed on_failed, uint64_t seed);
 
   /// Before Start: continues from a known version, which costs discovery less than a snapshot.
   void Resume(uint64_t index);
@@ -39,9 +40,9 @@
   void Stop();
   /// Polls another address from now on: the changes since the known version at once, and a snapshot some time
   /// later, since discovery can't serve one to every gateway of a fleet at the same time.
-  void Move(const tcp::endpoint& address);
+  void SetAddress(const tcp::endpoint& address);
   /// Sets the names of zones and kinds. If they differ a new snapshot is requested.
-  void SetSite(std::shared_ptr<const policy::SocketSettings> site);
+  void SetSocketSettings(std::shared_ptr<const policy::SocketSettings> socket_settings);
 
  private:
   void Restart();
@@ -57,7 +58,7 @@
 
   asio::io_context& io_;
   tcp::endpoint address_;
-  std::shared_ptr<const policy::SocketSettings> site_;
+  std::shared_ptr<const policy::SocketSettings> socket_settings_;
   BackendIds* ids_;
   OnList on_list_;
   OnFailed on_failed_;
--- a/src/net/endpoint_list.cpp
+++ b/src/net/endpoint_list.cpp
@@ -28,15 +28,15 @@
 }
 
 // The record without its backend's id.
-EndpointRecord ParseRecord(const json& entry, const policy::SocketSettings& site) {
+EndpointRecord ParseRecord(const json& entry, const policy::SocketSettings& socket_settings) {
   EndpointRecord record;
   policy::Endpoint& backend = record.backend;
   backend.state = ParseState(entry.at("status").get<std::string>());
   if (backend.state != EndpointState::kRemoved || entry.contains("address")) {
     record.address = ParseAddress("address", entry.at("address").get<std::string>());
   }
-  backend.kind = Position(site.kinds, entry.value("type", ""));
-  backend.zone = Position(site.zones, entry.value("zone", ""));
+  backend.kind = Position(socket_settings.kinds, entry.value("type", ""));
+  backend.zone = Position(socket_settings.zones, entry.value("zone", ""));
   backend.cell = entry.value("group", 0);
   backend.weight = entry.value("weight", 1.0);
   backend.started_s = entry.value("since_ms", 0.0) / 1000;
@@ -54,7 +54,7 @@
   return hash;
 }
 
-uint32_t BackendIds::Of(const std::string& name) {
+uint32_t BackendIds::GetOrAssign(const std::string& name) {
   auto it = ids_.find(name);
   if (it != ids_.end()) return it->second;
   uint32_t id = hash_(name);
@@ -63,19 +63,20 @@
   return id;
 }
 
-std::optional<uint32_t> BackendIds::Known(const std::string& name) const {
+std::optional<uint32_t> BackendIds::Find(const std::string& name) const {
   auto it = ids_.find(name);
   return it == ids_.end() ? std::nullopt : std::optional(it->second);
 }
 
-BackendList ParseList(const json& list, const policy::SocketSettings& site, BackendIds* ids) {
+BackendList ParseBackendList(const json& list, const policy::SocketSettings& socket_settings,
+                             BackendIds* ids) {
   BackendList out;
   std::vector<std::string> names;  // of the entries, in their order
   try {
     out.index = list.at("index").get<uint64_t>();
-    out.full = list.at("snapshot").get<bool>();
+    out.is_snapshot = list.at("snapshot").get<bool>();
     for (const json& entry : list.at("endpoints")) {
-      EndpointRecord record = ParseRecord(entry, site);
+      EndpointRecord record = ParseRecord(entry, socket_settings);
       names.push_back(entry.at("name").get<std::string>());
       out.entries.push_back(std::move(record));
     }
@@ -85,8 +86,8 @@
   // Sorted, so that names with the same hash get the same ids wherever they are first listed together.
   std::vector<std::string> sorted = names;
   std::sort(sorted.begin(), sorted.end());
-  for (const std::string& name : sorted) ids->Of(name);
-  for (size_t i = 0; i < names.size(); ++i) out.entries[i].backend.id = ids->Of(names[i]);
+  for (const std::string& name : sorted) ids->GetOrAssign(name);
+  for (size_t i = 0; i < names.size(); ++i) out.entries[i].backend.id = ids->GetOrAssign(names[i]);
   return out;
 }
 
--- a/src/net/endpoint_list.h
+++ b/src/net/endpoint_list.h
@@ -24,8 +24,8 @@
 
 /// A snapshot of all backends, or those that have changed since an earlier list.
 struct BackendList {
-  uint64_t index = 0;  ///< Version of the list.
-  bool full = false;   ///< A snapshot.
+  uint64_t index = 0;        ///< Version of the list.
+  bool is_snapshot = false;  ///< A snapshot.
   std::vector<EndpointRecord> entries;
 };
 
@@ -37,9 +37,9 @@
   using Hash = uint32_t (*)(std::string_view);
   explicit BackendIds(Hash hash = &NameHash) : hash_(hash) {}
   /// The name's id, assigned if it has none yet.
-  uint32_t Of(const std::string& name);
+  uint32_t GetOrAssign(const std::string& name);
   /// The name's id, or none if it was never listed.
-  std::optional<uint32_t> Known(const std::string& name) const;
+  std::optional<uint32_t> Find(const std::string& name) const;
   static uint32_t NameHash(std::string_view name);
 
  private:
@@ -49,9 +49,10 @@
 };
 
 /// Reads a list in discovery's form and assigns ids to its names.
-/// @param site the names of zones and kinds, whose positions the records contain
+/// @param socket_settings the names of zones and kinds, whose positions the records contain
 /// @throws policy::ProtocolError if the document is malformed
-BackendList ParseList(const nlohmann::json& list, const policy::SocketSettings& site, BackendIds* ids);
+BackendList ParseBackendList(const nlohmann::json& list, const policy::SocketSettings& socket_settings,
+                             BackendIds* ids);
 
 }  // namespace lemonchute::net
 
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -15,8 +15,9 @@
 Gateway::Gateway(asio::io_context& io, const Config& config, ConfigurationManager* config_manager)
     : config_(std::make_shared<const Config>(config)),
       policy_(clock_, [this](const policy::Action& action) { Execute(action); }),
-      pool_(io, config.site.connection_idle_s, config.site.connect_timeout_s, config.site.drain_grace_s,
-            ComputeResourceLimits(config, 1).backend_connections, &metrics_),
+      pool_(io, config.socket_settings.connection_idle_s, config.socket_settings.connect_timeout_s,
+            config.socket_settings.drain_grace_s, ComputeResourceLimits(config, 1).backend_connections,
+            &metrics_),
       server_(
           io, ComputeResourceLimits(config, 1).client_connections,
           [this](uint64_t connection, ClientMessage message, const std::optional<Upload>& upload) {
@@ -27,12 +28,12 @@
           }),
       counter_(io, policy_),
       discovery_(
-          io, config.discovery, {config_, &config_->site}, &ids_,
+          io, config.discovery, {config_, &config_->socket_settings}, &ids_,
           [this](const BackendList& list) { OnDiscoveryList(list); }, [this] { OnDiscoveryFailed(); },
           config.seed),
       members_(io),
       endpoints_(clock_, pool_, policy_, metrics_),
-      offline_backends_(config.folder, ids_, pool_, policy_),
+      offline_backends_(config.state_folder, ids_, pool_, policy_),
       timers_(
           io, [this](TimerKind kind, uint64_t tag) { OnTimer(kind, tag); },
           [this] { lifecycle_.CheckShutdown(); }),
@@ -44,17 +45,17 @@
                         [this] { lifecycle_.ApplyResourceLimits(); }}),
       admin_api_(lifecycle_, offline_backends_, *config_manager, members_, metrics_,
                  [this] { return ReadGauges(); }) {
-  metrics_.classes = metrics_.WithNames(config.site.classes);
+  metrics_.classes = metrics_.WithNames(config.socket_settings.classes);
   counter_.Start(counter_.Prepare(config));
   StartPolicy(config);
   offline_backends_.Apply();
   lifecycle_.Start();
-  if (config.ops) {
-    admin_server_.emplace(io, *config.ops,
+  if (config.admin) {
+    admin_server_.emplace(io, *config.admin,
                           [this](const AdminRequest& request) { return admin_api_.Handle(request); });
   }
   discovery_.Start();
-  members_.Follow(config);
+  members_.ApplyConfig(config);
   config_manager->Start(
       [this](const nlohmann::json& document) { return reconfiguration_.Prepare(document); });
 }
@@ -68,15 +69,15 @@
 // The policy starts with the endpoint list that was cached, if there is one.
 void Gateway::StartPolicy(const Config& config) {
   BackendList cached = ParseCachedList(config);
-  if (cached.full) discovery_.Resume(cached.index);
+  if (cached.is_snapshot) discovery_.Resume(cached.index);
   policy_.Start(config.settings, config.seed);
   endpoints_.OnList(cached, EndpointListKind::kCached);
 }
 
 BackendList Gateway::ParseCachedList(const Config& config) {
-  if (config.known.is_null()) return {};
+  if (config.initial_endpoints.is_null()) return {};
   try {
-    return ParseList(config.known, config.site, &ids_);
+    return ParseBackendList(config.initial_endpoints, config.socket_settings, &ids_);
   } catch (const policy::ProtocolError& error) {
     throw policy::ProtocolError(std::string("setting is unreadable: known: ") + error.what());
   }
@@ -113,7 +114,7 @@
 }
 
 void Gateway::OnDiscoveryList(const BackendList& list) {
-  endpoints_.OnList(list, list.full ? EndpointListKind::kSnapshot : EndpointListKind::kDelta);
+  endpoints_.OnList(list, list.is_snapshot ? EndpointListKind::kSnapshot : EndpointListKind::kDelta);
   process_.endpoint_list_known = true;
 }
 
--- a/src/net/lifecycle.cpp
+++ b/src/net/lifecycle.cpp
@@ -46,7 +46,7 @@
       members_(parts.members),
       metrics_(parts.metrics),
       started_at_(Clock::now()),
-      peer_process_(config_->folder),
+      peer_process_(config_->state_folder),
       peer_process_alive_(peer_process_.Alive()),
       peer_noticed_at_(Clock::now() + Seconds(peer_process_alive_ ? kPeerNoticeS : 0)),
       peer_process_timer_(io_),
@@ -61,7 +61,7 @@
   // With a peer process alive connections are accepted once they can be served here. A process that is alone
   // accepts them at once, since no other would.
   if (!peer_process_alive_) StartAccepting();
-  if (!config_->folder.empty()) WatchPeerProcess();
+  if (!config_->state_folder.empty()) WatchPeerProcess();
 }
 
 void Lifecycle::StartAccepting() {
--- a/src/net/maintenance.cpp
+++ b/src/net/maintenance.cpp
@@ -13,13 +13,13 @@
 
 using nlohmann::json;
 
-Maintenance::Maintenance(const std::string& folder) {
+MaintenanceList::MaintenanceList(const std::string& folder) {
   if (folder.empty()) return;
   path_ = folder + "/lb-maintenance.json";
   Refresh();
 }
 
-bool Maintenance::Refresh() {
+bool MaintenanceList::Refresh() {
   if (path_.empty()) return false;
   FileStamp current = StampOf(path_);
   if (current == last_read_) return false;
@@ -37,7 +37,7 @@
   return true;
 }
 
-bool Maintenance::Set(const std::string& name, bool offline) {
+bool MaintenanceList::Set(const std::string& name, bool offline) {
   Refresh();  // the peer process may have written meanwhile
   if ((offline_.count(name) != 0) == offline) return true;
   std::set<std::string> names = offline_;
@@ -53,7 +53,7 @@
 
 // Written to a temporary file and renamed: a reader, or a start after a kill, finds the old list or the new
 // one.
-bool Maintenance::Store(const std::set<std::string>& names) {
+bool MaintenanceList::Store(const std::set<std::string>& names) {
   std::string temporary = path_ + "." + std::to_string(getpid());
   std::ofstream out(temporary, std::ios::trunc);
   out << json(names).dump();
--- a/src/net/maintenance.h
+++ b/src/net/maintenance.h
@@ -11,11 +11,11 @@
 namespace lemonchute::net {
 
 /// Backends under maintenance, by name.
-class Maintenance {
+class MaintenanceList {
  public:
   /// Reads the file. One that is missing or damaged counts as empty.
   /// @param folder of the file; empty: the list is only in memory.
-  explicit Maintenance(const std::string& folder);
+  explicit MaintenanceList(const std::string& folder);
 
   const std::set<std::string>& offline() const { return offline_; }
   /// Adds a backend to the list or removes it.
--- a/src/net/members.cpp
+++ b/src/net/members.cpp
@@ -86,7 +86,7 @@
 Members::Members(asio::io_context& io)
     : socket_(io), tick_timer_(io), bind_retry_timer_(io), view_log_timer_(io), log_budget_(kMaxLogBurst) {}
 
-void Members::Follow(const Config& config) noexcept {
+void Members::ApplyConfig(const Config& config) noexcept {
   const std::optional<PeerConfig>& next = config.membership;
   if (handed_over_) return;
   if (!next) {
@@ -96,7 +96,8 @@
     return;
   }
   bool restart = !config_ || config_->self != next->self || config_->listen != next->listen ||
-                 config_->in_per_s != next->in_per_s || config_->share != next->share;
+                 config_->max_datagrams_per_s != next->max_datagrams_per_s ||
+                 config_->membership_share != next->membership_share;
   if (restart) StopSpeaking();
   config_ = next;
   ProgramId();  // computed here, since there is no time for it while an address is handed over
@@ -106,7 +107,7 @@
   if (restart) return Bind();
   if (!membership_) return;
   membership_->Resize(Now(), config_->peers.size());
-  membership_->Tell(Now(), {ProgramId(), config_->config});
+  membership_->Tell(Now(), {ProgramId(), config_->fleet_config_id});
   LogView();
 }
 
@@ -144,8 +145,8 @@
   settings.self = config_->self, settings.members = config_->peers.size();
   // A seed of its own for each start, so that members that start at once probe in different orders.
   settings.seed = static_cast<uint64_t>(Now()) * 0x9e3779b97f4a7c15ULL + static_cast<uint64_t>(getpid());
-  settings.about = {ProgramId(), config_->config};
-  settings.in_per_s = config_->in_per_s, settings.share = config_->share;
+  settings.about = {ProgramId(), config_->fleet_config_id};
+  settings.in_per_s = config_->max_datagrams_per_s, settings.share = config_->membership_share;
   membership_.emplace(settings, Now());
   error_code ignored;
   udp::endpoint local = socket_.local_endpoint(ignored);
@@ -307,7 +308,7 @@
     line(std::string("members_dropped_") + Name(static_cast<membership::Fault>(i)), counts.bad[i]);
 }
 
-std::optional<AdminResponse> Members::OnCall(const AdminRequest& call) const {
+std::optional<AdminResponse> Members::HandleAdminCall(const AdminRequest& call) const {
   constexpr std::string_view kPath = "/control/members";
   std::string_view target = call.path, path = target.substr(0, target.find('?'));
   if (path != kPath) return std::nullopt;
--- a/src/net/members.h
+++ b/src/net/members.h
@@ -26,7 +26,7 @@
 
   /// Follows the configuration: on or off, other peers, another address. Never fails: an address that can't
   /// be had is tried again, which the log says.
-  void Follow(const Config& config) noexcept;
+  void ApplyConfig(const Config& config) noexcept;
   /// Leaves the fleet as planned. The other members are notified.
   /// @param to_peer_process whether the other process of this gateway is alive. It takes over the address
   /// then,
@@ -37,7 +37,7 @@
 
   /// Answers GET /control/members.
   /// @return none where the request is for another path.
-  std::optional<AdminResponse> OnCall(const AdminRequest& call) const;
+  std::optional<AdminResponse> HandleAdminCall(const AdminRequest& call) const;
   /// Writes the metrics; none while membership is off.
   void AppendMetrics(const std::function<void(const std::string& name, uint64_t value)>& line) const;
 
--- a/src/net/offline_backends.cpp
+++ b/src/net/offline_backends.cpp
@@ -10,7 +10,7 @@
     : ids_(ids), pool_(pool), policy_(policy), stored_(folder) {}
 
 SetOfflineResult OfflineBackends::Set(const std::string& name, bool offline) {
-  if (!ids_.Known(name)) return SetOfflineResult::kUnknownBackend;
+  if (!ids_.Find(name)) return SetOfflineResult::kUnknownBackend;
   if (!stored_.Set(name, offline)) return SetOfflineResult::kNotStored;
   std::fprintf(stderr, "operators: backend %s %s\n", name.c_str(), offline ? "offline" : "online");
   Apply();
@@ -32,7 +32,7 @@
 }
 
 void OfflineBackends::ApplyTo(const std::string& name, bool offline) {
-  uint32_t id = ids_.Of(name);
+  uint32_t id = ids_.GetOrAssign(name);
   pool_.SetOffline(id, offline);
   policy_.Dispatch([&](policy::Balancer& balancer, double now_s, policy::Actions* actions) {
     balancer.OnMaintenance(now_s, id, offline, actions);
--- a/src/net/offline_backends.h
+++ b/src/net/offline_backends.h
@@ -33,7 +33,7 @@
   BackendIds& ids_;
   BackendPool& pool_;
   PolicyDispatcher& policy_;
-  Maintenance stored_;
+  MaintenanceList stored_;
   std::set<std::string> applied_;  // by name, as the pool and the policy have it
 };
 
--- a/src/net/reconfiguration.cpp
+++ b/src/net/reconfiguration.cpp
@@ -8,10 +8,10 @@
 
 std::function<void()> Reconfiguration::Prepare(const nlohmann::json& document) {
   const policy::Balancer& balancer = parts_.policy.balancer();
-  Merged merged = MergeSettings(*parts_.config, ParseConfig(document), balancer.IndicesInUse());
+  MergedSettings merged = MergeSettings(*parts_.config, ParseConfig(document), balancer.IndicesInUse());
   auto change = std::make_shared<PreparedChange>();
-  change->settings = balancer.PrepareSettings(merged.config.settings, merged.renewed);
-  change->classes = parts_.metrics.WithNames(merged.config.site.classes);
+  change->settings = balancer.PrepareSettings(merged.config.settings, merged.newly_assigned);
+  change->classes = parts_.metrics.WithNames(merged.config.socket_settings.classes);
   change->config = std::make_shared<const Config>(std::move(merged.config));
   change->counter = parts_.counter.Prepare(*change->config);
   return [this, change] { Commit(*change); };
@@ -26,12 +26,13 @@
     balancer.OnSettings(now_s, std::move(change.settings), actions);
   });
   const Config& config = *parts_.config;
-  const policy::SocketSettings& site = config.site;
-  parts_.pool.SetLimits(site.connection_idle_s, site.connect_timeout_s, site.drain_grace_s);
+  const policy::SocketSettings& socket_settings = config.socket_settings;
+  parts_.pool.SetLimits(socket_settings.connection_idle_s, socket_settings.connect_timeout_s,
+                        socket_settings.drain_grace_s);
   parts_.apply_resource_limits();
-  parts_.discovery.SetSite({parts_.config, &site});
-  parts_.discovery.Move(config.discovery);
-  parts_.members.Follow(config);
+  parts_.discovery.SetSocketSettings({parts_.config, &socket_settings});
+  parts_.discovery.SetAddress(config.discovery);
+  parts_.members.ApplyConfig(config);
   parts_.counter.Commit(config, std::move(change.counter));
 }
 
--- a/src/net/request_lifecycle.cpp
+++ b/src/net/request_lifecycle.cpp
@@ -66,7 +66,7 @@
   unanswered_by_connection_[connection] = id;
   auto class_index = static_cast<size_t>(call.request.class_index);
   request.config = config_;
-  request.class_name = config_->site.classes[class_index];
+  request.class_name = config_->socket_settings.classes[class_index];
   request.idempotency = config_->settings.classes[class_index].idempotency;
   request.timeout_s = call.timeout_s;
   // The policy has until a whole margin before the client's timeout; half a margin before it the gateway
--- a/src/net/resource_limits.h
+++ b/src/net/resource_limits.h
@@ -23,7 +23,7 @@
   constexpr double kClientShare = 0.6;  // of the descriptors that are not reserved
   constexpr double kMinConnections = 8;
   constexpr size_t kBodyDivisor = 8;  // of the memory
-  int descriptors = config.sockets / process_count - kReservedDescriptors;
+  int descriptors = config.max_descriptors / process_count - kReservedDescriptors;
   size_t memory_bytes = static_cast<size_t>(config.memory_mb) << 20;
   ResourceLimits limits;
   limits.client_connections = static_cast<size_t>(std::max(kMinConnections, descriptors * kClientShare));
--- a/src/net/start_times.cpp
+++ b/src/net/start_times.cpp
@@ -10,10 +10,10 @@
 
 }  // namespace
 
-void StartTimes::BeginList(double now_s, double wall_s, bool watched) {
+void StartTimes::BeginList(double now_s, double wall_s, bool from_discovery) {
   now_s_ = now_s;
   wall_s_ = wall_s;
-  watched_ = watched;
+  from_discovery_ = from_discovery;
 }
 
 double StartTimes::Convert(uint32_t backend, double wall_start_s) {
@@ -29,8 +29,8 @@
 // warm is overloaded.
 double StartTimes::AgeS(double wall_start_s) const {
   double age_s = std::max(0.0, wall_s_ - wall_start_s);
-  bool is_new = watched_ && last_heard_s_.has_value();
-  return is_new && age_s > now_s_ - *last_heard_s_ + kMaxDiscoveryDelayS ? 0 : age_s;
+  bool is_new = from_discovery_ && last_list_from_discovery_s_.has_value();
+  return is_new && age_s > now_s_ - *last_list_from_discovery_s_ + kMaxDiscoveryDelayS ? 0 : age_s;
 }
 
 }  // namespace lemonchute::net
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -15,7 +15,7 @@
 #include "config/revisions.h"
 
 namespace lemonchute::config {
-using net::Config, net::Merged, net::MergeSettings, net::ParseConfig;
+using net::Config, net::MergedSettings, net::MergeSettings, net::ParseConfig;
 
 namespace {
 
@@ -649,24 +649,25 @@
   fresh["settings"]["zones"] = {"c", "b"};
   fresh["settings"]["zone"] = 1;
   fresh["limits"]["sockets"] = 512;
-  Merged used = MergeSettings(running, ParseConfig(fresh), All(2));
+  MergedSettings used = MergeSettings(running, ParseConfig(fresh), All(2));
   using Names = std::vector<std::string>;
-  EXPECT_EQ(used.config.site.classes, (Names{"", "save", "note"}));
-  EXPECT_EQ(used.config.site.plans, (Names{"", "business", "gold"}));
-  EXPECT_EQ(used.config.site.zones, (Names{"", "b", "c"}));
+  EXPECT_EQ(used.config.socket_settings.classes, (Names{"", "save", "note"}));
+  EXPECT_EQ(used.config.socket_settings.plans, (Names{"", "business", "gold"}));
+  EXPECT_EQ(used.config.socket_settings.zones, (Names{"", "b", "c"}));
   EXPECT_EQ(used.config.settings.zone, 1);
   EXPECT_EQ(used.config.settings.classes[0].priority_weight, 0);
   EXPECT_TRUE(used.config.settings.plans[0].removed);
-  EXPECT_EQ(used.renewed.classes, std::unordered_set<int>{2});
-  EXPECT_EQ(used.config.sockets, 512);
-  Merged free = MergeSettings(running, ParseConfig(fresh), {});
-  EXPECT_EQ(free.config.site.classes, (Names{"note", "save"}));
-  EXPECT_EQ(free.renewed.plans, std::unordered_set<int>{0});
-  Merged needs_restart = MergeSettings(used.config, ParseConfig(fresh), {});
-  EXPECT_EQ(needs_restart.config.site.classes, (Names{"", "save", "note"})) << "it stays where it is";
-  EXPECT_TRUE(needs_restart.renewed.classes.empty());
-  Merged back = MergeSettings(needs_restart.config, ParseConfig(Good()), {});
-  EXPECT_EQ(back.config.site.classes, (Names{"quote", "save"})) << "the place has come back";
+  EXPECT_EQ(used.newly_assigned.classes, std::unordered_set<int>{2});
+  EXPECT_EQ(used.config.max_descriptors, 512);
+  MergedSettings free = MergeSettings(running, ParseConfig(fresh), {});
+  EXPECT_EQ(free.config.socket_settings.classes, (Names{"note", "save"}));
+  EXPECT_EQ(free.newly_assigned.plans, std::unordered_set<int>{0});
+  MergedSettings needs_restart = MergeSettings(used.config, ParseConfig(fresh), {});
+  EXPECT_EQ(needs_restart.config.socket_settings.classes, (Names{"", "save", "note"}))
+      << "it stays where it is";
+  EXPECT_TRUE(needs_restart.newly_assigned.classes.empty());
+  MergedSettings back = MergeSettings(needs_restart.config, ParseConfig(Good()), {});
+  EXPECT_EQ(back.config.socket_settings.classes, (Names{"quote", "save"})) << "the place has come back";
 }
 
 TEST(Merge, PlacesDoNotGrowWithReloads) {
@@ -685,10 +686,10 @@
         in_use.classes.insert(place), in_use.plans.insert(place), in_use.zones.insert(place);
     }
     running = MergeSettings(running, ParseConfig(fresh), in_use).config;
-    EXPECT_LE(running.site.classes.size(), 8u);
-    EXPECT_LE(running.site.plans.size(), 8u);
-    EXPECT_LE(running.site.zones.size(), 8u);
-    ASSERT_EQ(running.site.classes.size(), running.settings.classes.size());
+    EXPECT_LE(running.socket_settings.classes.size(), 8u);
+    EXPECT_LE(running.socket_settings.plans.size(), 8u);
+    EXPECT_LE(running.socket_settings.zones.size(), 8u);
+    ASSERT_EQ(running.socket_settings.classes.size(), running.settings.classes.size());
   }
 }
 
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -241,7 +241,7 @@
     wire.Write(List(4, json::array(), true));
     wire.Read();  // its watch
     boost::asio::post(lone->io, [&] {
-      lone->client.Move(
+      lone->client.SetAddress(
           {boost::asio::ip::make_address("127.0.0.1"), static_cast<unsigned short>(moved.port())});
     });
     wire.Ended();
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -1051,8 +1051,8 @@
   lemonchute::policy::SocketSettings site;
   json ab = {{"index", 1}, {"snapshot", true}, {"endpoints", {Entry("a", 1), Entry("b", 2)}}};
   json ba = {{"index", 1}, {"snapshot", true}, {"endpoints", {Entry("b", 2), Entry("a", 1)}}};
-  auto first = lemonchute::net::ParseList(ab, site, &one),
-       second = lemonchute::net::ParseList(ba, site, &two);
+  auto first = lemonchute::net::ParseBackendList(ab, site, &one),
+       second = lemonchute::net::ParseBackendList(ba, site, &two);
   EXPECT_NE(first.entries[0].backend.id, first.entries[1].backend.id);
   EXPECT_EQ(first.entries[0].backend.id, second.entries[1].backend.id);
   EXPECT_EQ(first.entries[1].backend.id, second.entries[0].backend.id);
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -58,7 +58,7 @@
   json Summary() { return json::parse(Call("GET", "").body); }
   long Figure(const std::string& name) {
     long found = -1;
-    keeper.ReportMetrics([&](const std::string& n, uint64_t value) {
+    keeper.AppendMetrics([&](const std::string& n, uint64_t value) {
       if (n == name) found = static_cast<long>(value);
     });
     return found;
--- a/tests/stored_files_test.cpp
+++ b/tests/stored_files_test.cpp
@@ -165,13 +165,13 @@
 
 TEST_F(StoredFiles, TheMaintenanceListOfTheVersionBeforeIsRead) {
   Write("lb-maintenance.json", kMaintenanceList);
-  net::Maintenance maintenance(folder_);
+  net::MaintenanceList maintenance(folder_);
   const std::set<std::string> expected = {"s \"1\"", "s-2", "\xc3\xa9"};
   EXPECT_EQ(maintenance.offline(), expected);
 }
 
 TEST_F(StoredFiles, TheMaintenanceListIsWrittenByteForByteAsTheVersionBeforeReadsIt) {
-  net::Maintenance maintenance(folder_);
+  net::MaintenanceList maintenance(folder_);
   for (const char* name : {"s-2", "s \"1\"", "\xc3\xa9"}) EXPECT_TRUE(maintenance.Set(name, true));
   EXPECT_EQ(Read("lb-maintenance.json"), kMaintenanceList);
 }
