--- a/src/net/admin_api.cpp
+++ b/src/net/admin_api.cpp
@@ -12,11 +12,12 @@
 
 }  // namespace
 
-AdminApi::AdminApi(ServiceControl& service, OfflineBackends& offline_backends, ConfigurationManager& config,
-                   Members& members, const Metrics& metrics, ReadGauges read_gauges)
+AdminApi::AdminApi(ServiceControl& service, OfflineBackends& offline_backends,
+                   ConfigurationManager& config_manager, Members& members, const Metrics& metrics,
+                   ReadGauges read_gauges)
     : service_(service),
       offline_backends_(offline_backends),
-      config_(config),
+      config_manager_(config_manager),
       members_(members),
       metrics_(metrics),
       read_gauges_(std::move(read_gauges)) {}
@@ -29,7 +30,7 @@
   if (path == "/control/counters") {
     return is_get ? AdminResponse{200, RenderMetrics()} : MethodNotAllowed("GET");
   }
-  if (auto response = config_.HandleAdminCall(request)) return *response;
+  if (auto response = config_manager_.HandleAdminCall(request)) return *response;
   if (auto response = members_.HandleAdminCall(request)) return *response;
   if (path == "/control/out-of-service") return is_put ? TakeOutOfService() : MethodNotAllowed("PUT");
   if (path == "/control/in-service") return is_put ? ReturnToService() : MethodNotAllowed("PUT");
@@ -85,7 +86,7 @@
   line("active", gauges.active_requests);
   line("pool_size", gauges.listed_backends);
   line("pool_ejected", gauges.unavailable_backends);
-  config_.AppendMetrics(line);
+  config_manager_.AppendMetrics(line);
   members_.AppendMetrics(line);
   return text;
 }
--- a/src/net/admin_api.h
+++ b/src/net/admin_api.h
@@ -29,7 +29,7 @@
  public:
   using ReadGauges = std::function<Gauges()>;
 
-  AdminApi(ServiceControl& service, OfflineBackends& offline_backends, ConfigurationManager& config,
+  AdminApi(ServiceControl& service, OfflineBackends& offline_backends, ConfigurationManager& config_manager,
            Members& members, const Metrics& metrics, ReadGauges read_gauges);
 
   AdminResponse Handle(const AdminRequest& request);
@@ -44,7 +44,7 @@
 
   ServiceControl& service_;
   OfflineBackends& offline_backends_;
-  ConfigurationManager& config_;
+  ConfigurationManager& config_manager_;
   Members& members_;
   const Metrics& metrics_;
   const ReadGauges read_gauges_;
--- a/src/net/admin_server.cpp
+++ b/src/net/admin_server.cpp
@@ -50,12 +50,12 @@
 
   void Read() {
     socket_.async_read_some(buffer_.prepare(kReadChunk),
-                            [self = shared_from_this(), this](error_code error, size_t n) {
+                            [self = shared_from_this(), this](error_code error, size_t size) {
                               if (closed_) return;
                               if (error) return Close();
-                              buffer_.commit(n);
+                              buffer_.commit(size);
                               if (responded_) {
-                                trailing_bytes_ += n;
+                                trailing_bytes_ += size;
                                 buffer_.clear();
                                 if (trailing_bytes_ > kMaxTrailingBytes) return Close();
                               } else {
@@ -77,9 +77,9 @@
       return Respond({400, "not a call\n"});
     if (parser_->is_done()) {
       const auto& request = parser_->get();
-      bool framed = request.count(http::field::content_length) > 0 || request.chunked();
+      bool declares_body = request.count(http::field::content_length) > 0 || request.chunked();
       return Respond(server_->handler_({std::string(View(request.method_string())),
-                                        std::string(View(request.target())), request.body(), framed}));
+                                        std::string(View(request.target())), request.body(), declares_body}));
     }
     if (parser_->is_header_done() && !continue_sent_ &&
         boost::beast::iequals(parser_->get()[http::field::expect], "100-continue")) {
--- a/src/net/admin_server.h
+++ b/src/net/admin_server.h
@@ -16,7 +16,7 @@
 /// A request of an operator.
 struct AdminRequest {
   std::string method, path, body;
-  bool framed = false;  // names the length of its body, or is chunked
+  bool declares_body = false;  // names the length of its body, or is chunked
 };
 /// The response to an operator.
 struct AdminResponse {
--- a/src/net/configuration_api.cpp
+++ b/src/net/configuration_api.cpp
@@ -20,11 +20,13 @@
 constexpr const char* kInvalidConfirmTime =
     "confirm_s must be a number of seconds, above 0 and at most 86400";
 
-AdminResponse JsonAnswer(int status, const json& value) {
+AdminResponse JsonResponse(int status, const json& value) {
   return {status, value.dump(1, ' ', false, json::error_handler_t::replace) + "\n", "application/json"};
 }
 
-AdminResponse ErrorAnswer(int status, const std::string& why) { return JsonAnswer(status, {{"error", why}}); }
+AdminResponse ErrorResponse(int status, const std::string& why) {
+  return JsonResponse(status, {{"error", why}});
+}
 
 AdminResponse MethodNotAllowed(const std::string& allowed) { return {405, "use " + allowed + "\n"}; }
 
@@ -80,11 +82,11 @@
   return 422;
 }
 
-AdminResponse ErrorAnswer(const UpdateError& error) {
+AdminResponse ErrorResponse(const UpdateError& error) {
   json out = {{"error", error.why}};
   if (!error.faults.empty()) out["faults"] = ToJson(error.faults);
   if (!error.changes.empty()) out["changes"] = ToJson(error.changes);
-  return JsonAnswer(HttpStatus(error.code), out);
+  return JsonResponse(HttpStatus(error.code), out);
 }
 
 UpdateError InvalidDocument(const std::vector<config::Fault>& faults) {
@@ -121,7 +123,7 @@
   if (path.empty()) {
     if (method == "GET") return Summary();
     if (method != "PUT") return MethodNotAllowed("GET or PUT");
-    return call.framed ? Put(call, query) : LengthRequired();
+    return call.declares_body ? Put(call, query) : LengthRequired();
   }
   if (path == "/running") {
     if (method != "GET") return MethodNotAllowed("GET");
@@ -133,7 +135,7 @@
   }
   if (path == "/check") {
     if (method != "PUT" && method != "POST") return MethodNotAllowed("PUT or POST");
-    return call.framed ? Check(call) : LengthRequired();
+    return call.declares_body ? Check(call) : LengthRequired();
   }
   if (path == "/confirm") return method == "PUT" ? Confirm(query) : MethodNotAllowed("PUT");
   if (path == "/rollback") return method == "PUT" ? RollBack(query) : MethodNotAllowed("PUT");
@@ -160,33 +162,33 @@
                     {"back_to", state.provisional->rollback_target},
                     {"left_s", *left_s}};
   }
-  return JsonAnswer(200, out);
+  return JsonResponse(200, out);
 }
 
 AdminResponse ConfigurationApi::StoredRevision(std::string_view number) const {
   uint64_t wanted = 0;
   const config::Revision* found =
       Number(number, &wanted) ? manager_->revisions().state().Find(wanted) : nullptr;
-  if (found == nullptr || found->document.is_null()) return ErrorAnswer(404, "that revision is not kept");
-  return JsonAnswer(200, found->document);
+  if (found == nullptr || found->document.is_null()) return ErrorResponse(404, "that revision is not kept");
+  return JsonResponse(200, found->document);
 }
 
 AdminResponse ConfigurationApi::Check(const AdminRequest& call) const {
   config::Document parsed = config::ReadDocument(call.body);
-  if (!parsed.faults.empty()) return ErrorAnswer(InvalidDocument(parsed.faults));
+  if (!parsed.faults.empty()) return ErrorResponse(InvalidDocument(parsed.faults));
   config::UpdateRequest request;
   request.source = config::UpdateSource::kOperatorUpdate;
   request.document = std::move(parsed.value);
   const auto result = manager_->DryRun(request);
-  if (auto* error = std::get_if<UpdateError>(&result)) return ErrorAnswer(*error);
+  if (auto* error = std::get_if<UpdateError>(&result)) return ErrorResponse(*error);
   const auto& accepted = std::get<AppliedUpdate>(result);
-  return JsonAnswer(200, {{"running", manager_->revisions().state().running},
-                          {"warnings", ToJson(accepted.warnings)},
-                          {"changes", ToJson(accepted.changes)}});
+  return JsonResponse(200, {{"running", manager_->revisions().state().running},
+                            {"warnings", ToJson(accepted.warnings)},
+                            {"changes", ToJson(accepted.changes)}});
 }
 
-AdminResponse ConfigurationApi::Answer(const ConfigurationManager::UpdateResult& result) const {
-  if (auto* error = std::get_if<UpdateError>(&result)) return ErrorAnswer(*error);
+AdminResponse ConfigurationApi::ToResponse(const ConfigurationManager::UpdateResult& result) const {
+  if (auto* error = std::get_if<UpdateError>(&result)) return ErrorResponse(*error);
   const auto& applied = std::get<AppliedUpdate>(result);
   const config::State& state = manager_->revisions().state();
   json out = {{"warnings", ToJson(applied.warnings)},
@@ -197,24 +199,24 @@
                     {"left_s", state.provisional->confirm_within_s}};
   }
   if (!manager_->has_revision_log()) out["kept"] = false;
-  return JsonAnswer(200, out);
+  return JsonResponse(200, out);
 }
 
 AdminResponse ConfigurationApi::Put(const AdminRequest& call, std::string_view query) {
   config::UpdateRequest request;
   request.source = config::UpdateSource::kOperatorUpdate;
   if (!ReadRevision(query, "base", &request.base_revision) || !request.base_revision) {
-    return ErrorAnswer(400, "name the revision that this was made against: ?base=NUMBER");
+    return ErrorResponse(400, "name the revision that this was made against: ?base=NUMBER");
   }
-  if (!ReadConfirmTime(query, &request.confirm_within_s)) return ErrorAnswer(400, kInvalidConfirmTime);
+  if (!ReadConfirmTime(query, &request.confirm_within_s)) return ErrorResponse(400, kInvalidConfirmTime);
   config::Document parsed = config::ReadDocument(call.body);
   if (!parsed.faults.empty()) {
     const UpdateError error = InvalidDocument(parsed.faults);
     manager_->RejectUpdate(error.why);
-    return ErrorAnswer(error);
+    return ErrorResponse(error);
   }
   request.document = std::move(parsed.value);
-  return Answer(manager_->Update(request));
+  return ToResponse(manager_->Update(request));
 }
 
 AdminResponse ConfigurationApi::RollBack(std::string_view query) {
@@ -222,19 +224,19 @@
   request.source = config::UpdateSource::kRollback;
   std::optional<uint64_t> target;
   if (!ReadRevision(query, "base", &request.base_revision) || !ReadRevision(query, "to", &target)) {
-    return ErrorAnswer(400, "base and to are revisions");
+    return ErrorResponse(400, "base and to are revisions");
   }
-  if (!ReadConfirmTime(query, &request.confirm_within_s)) return ErrorAnswer(400, kInvalidConfirmTime);
+  if (!ReadConfirmTime(query, &request.confirm_within_s)) return ErrorResponse(400, kInvalidConfirmTime);
   request.target_revision = target.value_or(0);
-  return Answer(manager_->Update(request));
+  return ToResponse(manager_->Update(request));
 }
 
 AdminResponse ConfigurationApi::Confirm(std::string_view query) {
   std::optional<uint64_t> number;
   if (!ReadRevision(query, "revision", &number) || !number) {
-    return ErrorAnswer(400, "name the revision that is confirmed: ?revision=NUMBER");
+    return ErrorResponse(400, "name the revision that is confirmed: ?revision=NUMBER");
   }
-  return Answer(manager_->Confirm(*number));
+  return ToResponse(manager_->Confirm(*number));
 }
 
 }  // namespace lemonchute::net
--- a/src/net/configuration_api.h
+++ b/src/net/configuration_api.h
@@ -26,7 +26,7 @@
   AdminResponse Put(const AdminRequest& call, std::string_view query);
   AdminResponse RollBack(std::string_view query);
   AdminResponse Confirm(std::string_view query);
-  AdminResponse Answer(const ConfigurationManager::UpdateResult& result) const;
+  AdminResponse ToResponse(const ConfigurationManager::UpdateResult& result) const;
 
   ConfigurationManager* const manager_;
 };
--- a/src/net/configuration_file.cpp
+++ b/src/net/configuration_file.cpp
@@ -35,11 +35,11 @@
   config::Document parsed = config::ReadDocument(*text);
   content.faults = std::move(parsed.faults);
   if (!parsed.value.is_object()) return content;
-  config::Findings found = config::CheckConfig(parsed.value, config::Author::kPlatform, initial_settings);
-  for (config::Fault& fault : found.faults) {
+  config::Findings findings = config::CheckConfig(parsed.value, config::Author::kPlatform, initial_settings);
+  for (config::Fault& fault : findings.faults) {
     config::AddFault(&content.faults, std::move(fault.at), std::move(fault.why));
   }
-  content.warnings = std::move(found.warnings);
+  content.warnings = std::move(findings.warnings);
   if (content.faults.empty()) content.document = std::move(parsed.value);
   return content;
 }
--- a/src/net/configuration_manager.cpp
+++ b/src/net/configuration_manager.cpp
@@ -22,7 +22,7 @@
 constexpr size_t kMaxLoggedWarnings = 8;  // of one file
 
 // The type that %llu formats.
-unsigned long long Printed(uint64_t number) { return number; }
+unsigned long long ForPrintf(uint64_t number) { return number; }
 
 config::Times Now() {
   auto seconds = [](auto elapsed) { return std::chrono::duration<double>(elapsed).count(); };
@@ -30,7 +30,7 @@
           seconds(std::chrono::steady_clock::now().time_since_epoch())};
 }
 
-UpdateError::Code CodeOf(config::Rejection::Kind kind) {
+UpdateError::Code ToErrorCode(config::Rejection::Kind kind) {
   switch (kind) {
     case config::Rejection::kInvalid:
     case config::Rejection::kNeedsRestart: return UpdateError::Code::kInvalid;
@@ -41,8 +41,8 @@
   return UpdateError::Code::kInvalid;
 }
 
-UpdateError ErrorOf(const config::Rejection& rejection) {
-  return {CodeOf(rejection.kind), rejection.why, rejection.faults, rejection.changes};
+UpdateError ToUpdateError(const config::Rejection& rejection) {
+  return {ToErrorCode(rejection.kind), rejection.why, rejection.faults, rejection.changes};
 }
 
 UpdateError MakeError(UpdateError::Code code, std::string why) { return {code, std::move(why), {}, {}}; }
@@ -78,9 +78,9 @@
     start_fault_ = config::OneLine(file.faults);
     std::fprintf(stderr,
                  "STARTED BY THE LAST GOOD CONFIGURATION, revision %llu, since the file is broken: %s\n",
-                 Printed(state->running), start_fault_.c_str());
+                 ForPrintf(state->running), start_fault_.c_str());
   } else if (logged && state->file_id == logged->file_id && state->running != state->file_revision) {
-    std::fprintf(stderr, "the file is as it was: revision %llu (%s) runs on\n", Printed(state->running),
+    std::fprintf(stderr, "the file is as it was: revision %llu (%s) runs on\n", ForPrintf(state->running),
                  ToString(state->Running().source));
   }
   unwritten_ = revision_log_.enabled() && (!logged || state->generation != logged->generation);
@@ -102,7 +102,7 @@
 
 void ConfigurationManager::RecordRejection(config::UpdateSource source, const std::string& why) {
   revisions_->RecordRejection(source, why, Now());
-  source == config::UpdateSource::kFile ? ++counters_.rejected : ++counters_.refused;
+  source == config::UpdateSource::kFile ? ++counters_.files_rejected : ++counters_.other_rejected;
 }
 
 std::optional<UpdateError> ConfigurationManager::Commit(config::Transition next, Durability durability) {
@@ -115,7 +115,7 @@
     }
   }
   const std::string write_error = revision_log_.Write(next.state);
-  if (!write_error.empty()) ++counters_.not_stored;
+  if (!write_error.empty()) ++counters_.failed_writes;
   if (!write_error.empty() && durability == Durability::kRequired) {
     return MakeError(UpdateError::Code::kNotStored, "cannot be kept: " + write_error);
   }
@@ -158,11 +158,11 @@
   config::UpdateRequest request;
   request.document = std::move(file.document);
   auto proposal = revisions_->Propose(request, Now());
-  if (auto* rejection = std::get_if<config::Rejection>(&proposal)) return ErrorOf(*rejection);
+  if (auto* rejection = std::get_if<config::Rejection>(&proposal)) return ToUpdateError(*rejection);
   auto& next = std::get<config::Transition>(proposal);
   std::vector<std::string> needs_restart = std::move(next.needs_restart);
   if (auto error = Commit(std::move(next), Durability::kBestEffort)) return error;
-  ++counters_.applied;
+  ++counters_.files_applied;
   needs_restart_ = std::move(needs_restart);
   start_fault_.clear();
   for (size_t i = 0; i < std::min(kMaxLoggedWarnings, file.warnings.size()); ++i) {
@@ -194,14 +194,14 @@
     } catch (const std::exception& error) {
       RecordRejection(next->state.Running().source, error.what());
       std::fprintf(stderr, "CANNOT FOLLOW the other process to revision %llu: %s\n",
-                   Printed(next->state.running), error.what());
+                   ForPrintf(next->state.running), error.what());
       return;
     }
   }
   commit();
   unwritten_ = false;
-  ++counters_.adopted;
-  std::fprintf(stderr, "followed the other process to revision %llu\n", Printed(next->state.running));
+  ++counters_.adopted_from_peer;
+  std::fprintf(stderr, "followed the other process to revision %llu\n", ForPrintf(next->state.running));
   revisions_->Apply(std::move(next->state));
   ScheduleRollback();
 }
@@ -249,12 +249,12 @@
   if (!error) {
     ++counters_.automatic_rollbacks;
     std::fprintf(stderr, "revision %llu was not confirmed in time: its way back is taken, as revision %llu\n",
-                 Printed(expired), Printed(revisions_->state().running));
+                 ForPrintf(expired), ForPrintf(revisions_->state().running));
     return;
   }
   // The running revision becomes permanent; otherwise the rollback would be retried forever.
   RecordRejection(config::UpdateSource::kAutomaticRollback, error->why);
-  std::fprintf(stderr, "THE WAY BACK from revision %llu is closed, so it stays: %s\n", Printed(expired),
+  std::fprintf(stderr, "THE WAY BACK from revision %llu is closed, so it stays: %s\n", ForPrintf(expired),
                error->why.c_str());
   auto confirmation = revisions_->Confirm(expired);
   if (auto* confirmed = std::get_if<config::Transition>(&confirmation)) {
@@ -264,7 +264,7 @@
 
 ConfigurationManager::UpdateResult ConfigurationManager::DryRun(const config::UpdateRequest& request) const {
   auto proposal = revisions_->Propose(request, Now());
-  if (auto* rejection = std::get_if<config::Rejection>(&proposal)) return ErrorOf(*rejection);
+  if (auto* rejection = std::get_if<config::Rejection>(&proposal)) return ToUpdateError(*rejection);
   auto& next = std::get<config::Transition>(proposal);
   if (!next.content_unchanged) {
     try {
@@ -288,7 +288,7 @@
     std::variant<config::Transition, config::Rejection> proposal, config::UpdateSource source) {
   if (auto* rejection = std::get_if<config::Rejection>(&proposal)) {
     RecordRejection(source, rejection->why);
-    return ErrorOf(*rejection);
+    return ToUpdateError(*rejection);
   }
   auto& next = std::get<config::Transition>(proposal);
   AppliedUpdate applied{std::move(next.warnings), std::move(next.changes)};
@@ -301,7 +301,7 @@
 
 void ConfigurationManager::LogOperatorUpdate(const char* action) const {
   const config::State& state = revisions_->state();
-  std::fprintf(stderr, "operators: %s, revision %llu runs%s\n", action, Printed(state.running),
+  std::fprintf(stderr, "operators: %s, revision %llu runs%s\n", action, ForPrintf(state.running),
                state.provisional ? " on trial" : "");
 }
 
@@ -344,20 +344,20 @@
 void ConfigurationManager::AppendMetrics(
     const std::function<void(const std::string& name, uint64_t value)>& line) {
   const config::State& state = revisions_->state();
-  line("config_applied", counters_.applied);
-  line("config_rejected", counters_.rejected);
+  line("config_applied", counters_.files_applied);
+  line("config_rejected", counters_.files_rejected);
   line("config_revision", state.running);
   line("config_on_trial", state.provisional ? 1 : 0);
   line("config_file_differs", FileStatus() == ConfigurationFile::Status::kAsRunning ? 0 : 1);
   line("config_needs_restart", needs_restart_.size());
   line("config_started_by_record", start_fault_.empty() ? 0 : 1);
   line("config_put", counters_.operator_updates);
-  line("config_refused", counters_.refused);
+  line("config_refused", counters_.other_rejected);
   line("config_confirmed", counters_.confirmed);
   line("config_rolled_back", counters_.rolled_back);
   line("config_returned", counters_.automatic_rollbacks);
-  line("config_followed", counters_.adopted);
-  line("config_unkept", counters_.not_stored);
+  line("config_followed", counters_.adopted_from_peer);
+  line("config_unkept", counters_.failed_writes);
 }
 
 }  // namespace lemonchute::net
--- a/src/net/configuration_manager.h
+++ b/src/net/configuration_manager.h
@@ -85,9 +85,9 @@
 
  private:
   struct Counters {
-    uint64_t applied = 0, rejected = 0;  // files
-    uint64_t operator_updates = 0, refused = 0, rolled_back = 0, confirmed = 0;
-    uint64_t automatic_rollbacks = 0, adopted = 0, not_stored = 0;
+    uint64_t files_applied = 0, files_rejected = 0;  // files
+    uint64_t operator_updates = 0, other_rejected = 0, rolled_back = 0, confirmed = 0;
+    uint64_t automatic_rollbacks = 0, adopted_from_peer = 0, failed_writes = 0;
   };
   enum class Durability { kRequired, kBestEffort };
 
--- a/src/net/counter_calls.cpp
+++ b/src/net/counter_calls.cpp
@@ -4,9 +4,9 @@
 
 namespace lemonchute::net {
 
-void CounterCalls::Call(uint64_t window, double units, double keep_s) {
-  if (client_) return client_->Call(window, units, keep_s);
-  asio::post(io_, [this, window] { OnResponse({window, 0, policy::AttemptResult::kConnectFailed}); });
+void CounterCalls::Call(uint64_t counter, double units, double retention_s) {
+  if (client_) return client_->Call(counter, units, retention_s);
+  asio::post(io_, [this, counter] { OnResponse({counter, 0, policy::AttemptResult::kConnectFailed}); });
 }
 
 std::unique_ptr<CounterClient> CounterCalls::Prepare(const Config& config) {
--- a/src/net/counter_calls.h
+++ b/src/net/counter_calls.h
@@ -18,9 +18,9 @@
   CounterCalls(asio::io_context& io, PolicyDispatcher& policy) : io_(io), policy_(policy) {}
 
   /// Calls the counter. Without a client the call fails in a later turn of the event loop.
-  /// @param window the policy's name for the call.
-  /// @param keep_s how long the counter keeps the value, in seconds.
-  void Call(uint64_t window, double units, double keep_s);
+  /// @param counter the policy's name for the call.
+  /// @param retention_s how long the counter keeps the value, in seconds.
+  void Call(uint64_t counter, double units, double retention_s);
 
   /// Creates the client that Commit() will need. Throws where it can't.
   /// @return none where there is a client or no counter.
--- a/src/net/counter_client.cpp
+++ b/src/net/counter_client.cpp
@@ -86,12 +86,12 @@
     });
   }
 
-  void Enqueue(std::shared_ptr<Pending> call, std::string text) {
+  void Enqueue(std::shared_ptr<PendingCall> call, std::string text) {
     calls_.push_back(std::move(call));
     if (!open_) return pending_texts_.push_back(std::move(text));
     if (calls_.size() == 1) {
       last_read_at_ = Clock::now();
-      WatchSilence();
+      StartSilenceTimer();
     }
     unsent_ += text;
     Write();
@@ -134,7 +134,7 @@
     pending_texts_.clear();
     unsent_ = std::move(text);
     last_read_at_ = Clock::now();
-    if (!calls_.empty()) WatchSilence();
+    if (!calls_.empty()) StartSilenceTimer();
     Write();
   }
 
@@ -155,12 +155,12 @@
   }
 
   // Runs while calls are in flight. Replies only move `last_read_at_`.
-  void WatchSilence() {
+  void StartSilenceTimer() {
     timer_.expires_at(last_read_at_ + kSilenceTimeout);
     timer_.async_wait([self = shared_from_this(), this](error_code cancelled) {
       if (cancelled || closed_ || calls_.empty()) return;
       if (Clock::now() >= last_read_at_ + kSilenceTimeout) return Close(true);
-      WatchSilence();
+      StartSilenceTimer();
     });
   }
 
@@ -216,7 +216,7 @@
   tcp::socket socket_;
   asio::steady_timer timer_;  // connecting, then silence
   std::unique_ptr<redisReader, FreeReader> reader_;
-  std::deque<std::shared_ptr<Pending>> calls_;
+  std::deque<std::shared_ptr<PendingCall>> calls_;
   std::deque<std::string> pending_texts_;  // of the calls, until the connection is open
   std::string unsent_, writing_;
   char buffer_[1024];
@@ -262,10 +262,10 @@
   }
   if (idle != nullptr) return idle;
   if (connecting == nullptr && usable < kMaxConnections && Clock::now() >= connect_after_) {
-    auto fresh = std::make_shared<Connection>(this);
-    connections_.push_back(fresh);
-    fresh->Connect();
-    connecting = fresh.get();
+    auto created = std::make_shared<Connection>(this);
+    connections_.push_back(created);
+    created->Connect();
+    connecting = created.get();
   }
   return open != nullptr ? open : connecting;
 }
@@ -286,7 +286,7 @@
 }
 
 void CounterClient::Call(uint64_t counter, double amount, double retention_s) {
-  auto call = std::make_shared<Pending>();
+  auto call = std::make_shared<PendingCall>();
   call->counter = counter;
   call->deadline = Clock::now() + timeout_;
   Connection* connection = SelectConnection();
@@ -299,7 +299,7 @@
   ArmTimeouts();
 }
 
-void CounterClient::Complete(const std::shared_ptr<Pending>& call, AttemptResult result, double total) {
+void CounterClient::Complete(const std::shared_ptr<PendingCall>& call, AttemptResult result, double total) {
   if (call->completed) return;
   call->completed = true;
   CounterResponse response;
--- a/src/net/counter_client.h
+++ b/src/net/counter_client.h
@@ -37,7 +37,7 @@
 
  private:
   class Connection;
-  struct Pending {
+  struct PendingCall {
     uint64_t counter = 0;
     bool completed = false;  // answered or timed out; a later reply is ignored
     bool written = false;    // the counter may have added the amount
@@ -45,7 +45,7 @@
   };
 
   Connection* SelectConnection();
-  void Complete(const std::shared_ptr<Pending>& call, policy::AttemptResult result, double total = 0);
+  void Complete(const std::shared_ptr<PendingCall>& call, policy::AttemptResult result, double total = 0);
   void ArmTimeouts();
   // Removes the connection; backs off if it failed without ever having replied.
   void OnConnectionClosed(Connection* connection, bool failed);
@@ -57,7 +57,7 @@
   std::vector<std::shared_ptr<Connection>> connections_;
   // By deadline, since every call has the same timeout. After the timeout is shortened the earlier calls
   // delay the later ones by at most what they have left.
-  std::deque<std::shared_ptr<Pending>> timeout_queue_;
+  std::deque<std::shared_ptr<PendingCall>> timeout_queue_;
   asio::steady_timer timer_;
   bool timeout_armed_ = false;
   Clock::duration backoff_{};
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -44,10 +44,10 @@
       rng_(seed) {}
 
 void DiscoveryClient::SetSocketSettings(std::shared_ptr<const policy::SocketSettings> socket_settings) {
-  bool renamed =
+  bool names_changed =
       socket_settings->zones != socket_settings_->zones || socket_settings->kinds != socket_settings_->kinds;
   socket_settings_ = std::move(socket_settings);
-  if (!renamed) return;
+  if (!names_changed) return;
   snapshot_next_ = true;  // earlier lists were parsed with the old names
   Restart();
 }
--- a/src/net/endpoint_list.cpp
+++ b/src/net/endpoint_list.cpp
@@ -13,11 +13,11 @@
 using policy::EndpointState;
 using policy::ProtocolError;
 
-constexpr int kUnknownPosition = 65535;  // of a zone or kind that the settings don't name
+constexpr int kUnknownIndex = 65535;  // of a zone or kind that the settings don't name
 
-int Position(const std::vector<std::string>& names, const std::string& name) {
+int IndexOf(const std::vector<std::string>& names, const std::string& name) {
   auto it = name.empty() ? names.end() : std::find(names.begin(), names.end(), config::PlainName(name));
-  return it == names.end() ? kUnknownPosition : static_cast<int>(it - names.begin());
+  return it == names.end() ? kUnknownIndex : static_cast<int>(it - names.begin());
 }
 
 EndpointState ParseState(const std::string& status) {
@@ -35,8 +35,8 @@
   if (backend.state != EndpointState::kRemoved || entry.contains("address")) {
     record.address = ParseAddress("address", entry.at("address").get<std::string>());
   }
-  backend.kind = Position(socket_settings.kinds, entry.value("type", ""));
-  backend.zone = Position(socket_settings.zones, entry.value("zone", ""));
+  backend.kind = IndexOf(socket_settings.kinds, entry.value("type", ""));
+  backend.zone = IndexOf(socket_settings.zones, entry.value("zone", ""));
   backend.cell = entry.value("group", 0);
   backend.weight = entry.value("weight", 1.0);
   backend.started_s = entry.value("since_ms", 0.0) / 1000;
--- a/src/net/endpoint_updater.cpp
+++ b/src/net/endpoint_updater.cpp
@@ -14,12 +14,12 @@
     : clock_(clock), pool_(pool), policy_(policy), metrics_(metrics) {}
 
 void EndpointUpdater::OnList(const BackendList& list, EndpointListKind kind) {
-  FollowWallClock();
+  HandleWallClockStep();
   start_times_.BeginList(clock_.NowS(), clock_.WallS(), kind != EndpointListKind::kCached);
   std::vector<policy::Endpoint> endpoints = WithMonotonicStartTimes(list);
   UpdatePool(list);
   if (kind == EndpointListKind::kDelta) {
-    ChangeListed(list);
+    UpdateListed(list);
   } else {
     ReplaceListed(list);
   }
@@ -37,7 +37,7 @@
 
 // The counter's windows are named by spans of the wall clock, which all gateways read. After a step they are
 // renamed here as at every other gateway; the counts are not reset.
-void EndpointUpdater::FollowWallClock() {
+void EndpointUpdater::HandleWallClockStep() {
   std::optional<double> ahead_s = clock_.DetectWallClockStep();
   if (!ahead_s) return;
   ++metrics_.clock_steps;
@@ -80,7 +80,7 @@
   listed_ = std::move(named);
 }
 
-void EndpointUpdater::ChangeListed(const BackendList& list) {
+void EndpointUpdater::UpdateListed(const BackendList& list) {
   for (const EndpointRecord& listed : list.entries) {
     auto position = std::find(listed_.begin(), listed_.end(), listed.backend.id);
     bool removed = listed.backend.state == EndpointState::kRemoved;
--- a/src/net/endpoint_updater.h
+++ b/src/net/endpoint_updater.h
@@ -28,11 +28,11 @@
   size_t listed_backends() const { return listed_.size(); }
 
  private:
-  void FollowWallClock();
+  void HandleWallClockStep();
   std::vector<policy::Endpoint> WithMonotonicStartTimes(const BackendList& list);
   void UpdatePool(const BackendList& list);
   void ReplaceListed(const BackendList& list);
-  void ChangeListed(const BackendList& list);
+  void UpdateListed(const BackendList& list);
 
   GatewayClock& clock_;
   BackendPool& pool_;
--- a/src/net/lifecycle.cpp
+++ b/src/net/lifecycle.cpp
@@ -61,7 +61,7 @@
   // With a peer process alive connections are accepted once they can be served here. A process that is alone
   // accepts them at once, since no other would.
   if (!peer_process_alive_) StartAccepting();
-  if (!config_->state_folder.empty()) WatchPeerProcess();
+  if (!config_->state_folder.empty()) PollPeerProcess();
 }
 
 void Lifecycle::StartAccepting() {
@@ -74,19 +74,19 @@
 }
 
 // Looks for the peer process and for what it has written.
-void Lifecycle::WatchPeerProcess() {
+void Lifecycle::PollPeerProcess() {
   offline_backends_.Refresh();
   config_manager_.PollRevisionLog();
-  FollowPeerProcess();
+  UpdatePeerProcess();
   if (!peer_process_alive_ || (process_.endpoint_list_known && Clock::now() >= peer_noticed_at_))
     StartAccepting();
   peer_process_timer_.expires_after(Seconds(kPeerProcessPollS));
   peer_process_timer_.async_wait([this](error_code cancelled) {
-    if (!cancelled) WatchPeerProcess();
+    if (!cancelled) PollPeerProcess();
   });
 }
 
-void Lifecycle::FollowPeerProcess() {
+void Lifecycle::UpdatePeerProcess() {
   bool alive = peer_process_.Alive();
   if (alive == peer_process_alive_) return;
   peer_process_alive_ = alive;
--- a/src/net/lifecycle.h
+++ b/src/net/lifecycle.h
@@ -64,8 +64,8 @@
 
  private:
   void StartAccepting();
-  void WatchPeerProcess();
-  void FollowPeerProcess();
+  void PollPeerProcess();
+  void UpdatePeerProcess();
   void ReportProcessCount();
   int ProcessCount() const { return peer_process_alive_ ? 2 : 1; }
 
--- a/src/net/members.cpp
+++ b/src/net/members.cpp
@@ -34,8 +34,8 @@
 }
 
 const char* StateName(State state) {
-  constexpr const char* kWords[] = {"alive", "suspect", "dead", "left"};
-  return kWords[static_cast<size_t>(state)];
+  constexpr const char* kNames[] = {"alive", "suspect", "dead", "left"};
+  return kNames[static_cast<size_t>(state)];
 }
 
 std::string Hex(uint64_t value, int digits) {
@@ -50,23 +50,23 @@
   static const uint32_t id = [] {
     std::ifstream file("/proc/self/exe", std::ios::binary);
     boost::crc_32_type sum;
-    std::array<char, 65536> part;
-    while (file.read(part.data(), part.size()), file.gcount() > 0)
-      sum.process_bytes(part.data(), static_cast<size_t>(file.gcount()));
+    std::array<char, 65536> chunk;
+    while (file.read(chunk.data(), chunk.size()), file.gcount() > 0)
+      sum.process_bytes(chunk.data(), static_cast<size_t>(file.gcount()));
     return sum.checksum();
   }();
   return id;
 }
 
-uint64_t AddressKey(const asio::ip::udp::endpoint& at) {
-  return (static_cast<uint64_t>(at.address().to_v4().to_uint()) << 16) | at.port();
+uint64_t AddressKey(const asio::ip::udp::endpoint& endpoint) {
+  return (static_cast<uint64_t>(endpoint.address().to_v4().to_uint()) << 16) | endpoint.port();
 }
 
 double WholeMillisecondsAsSeconds(Micros micros) { return static_cast<double>(micros / 1000) / 1000; }
 
 // Programs and configurations of the present members, and how many run each; more than one entry means that
 // the fleet disagrees.
-json ListRuns(const membership::View& view) {
+json CountRuns(const membership::View& view) {
   std::map<std::pair<uint32_t, uint32_t>, size_t> runs;  // by program and configuration
   for (size_t number = 0; number < view.size(); ++number) {
     const membership::Entry& entry = view.At(number);
@@ -91,14 +91,14 @@
   if (handed_over_) return;
   if (!next) {
     if (membership_) AnnounceLeave();  // leaves the fleet, not the service: switched on again it returns
-    StopSpeaking();
+    StopMembership();
     config_.reset();
     return;
   }
   bool restart = !config_ || config_->self != next->self || config_->listen != next->listen ||
                  config_->max_datagrams_per_s != next->max_datagrams_per_s ||
                  config_->membership_share != next->membership_share;
-  if (restart) StopSpeaking();
+  if (restart) StopMembership();
   config_ = next;
   ProgramId();  // computed here, since there is no time for it while an address is handed over
   members_by_address_.clear();
@@ -111,7 +111,7 @@
   LogView();
 }
 
-void Members::StopSpeaking() {
+void Members::StopMembership() {
   membership_.reset();
   error_code ignored;
   socket_.close(ignored);
@@ -123,7 +123,7 @@
   socket_.open(udp::v4(), error);
   if (!error) socket_.non_blocking(true, error);
   if (!error) socket_.bind(config_->listen, error);
-  if (!error) return StartSpeaking();
+  if (!error) return StartMembership();
   error_code ignored;
   socket_.close(ignored);
   if (!bind_failure_logged_) {
@@ -139,7 +139,7 @@
   });
 }
 
-void Members::StartSpeaking() {
+void Members::StartMembership() {
   bind_failure_logged_ = false;
   membership::Settings settings;
   settings.self = config_->self, settings.members = config_->peers.size();
@@ -178,8 +178,9 @@
   });
 }
 
-int Members::MemberAt(const udp::endpoint& at) const {
-  auto found = at.address().is_v4() ? members_by_address_.find(AddressKey(at)) : members_by_address_.end();
+int Members::MemberAt(const udp::endpoint& endpoint) const {
+  auto found =
+      endpoint.address().is_v4() ? members_by_address_.find(AddressKey(endpoint)) : members_by_address_.end();
   return found == members_by_address_.end() ? -1 : found->second;
 }
 
@@ -255,7 +256,7 @@
     std::fprintf(stderr, "members: the other process speaks from now on\n");
     std::fprintf(stderr, "fleet at_us=%lld pid=%d what=view subject=none\n", static_cast<long long>(Now()),
                  getpid());
-    return StopSpeaking();
+    return StopMembership();
   }
   AnnounceLeave();
 }
@@ -320,10 +321,10 @@
     if (text && !Number(*text, value))
       return AdminResponse{400, std::string(name) + " must be a whole number\n"};
   }
-  return AdminResponse{200, List(from, std::min(most, kMaxPageMembers)), "application/json"};
+  return AdminResponse{200, RenderPage(from, std::min(most, kMaxPageMembers)), "application/json"};
 }
 
-std::string Members::List(size_t from, size_t most) const {
+std::string Members::RenderPage(size_t from, size_t max_members) const {
   json out = {{"on", config_.has_value()}, {"speaks", membership_.has_value()}};
   if (!membership_) return out.dump(1) + "\n";
   Micros now = Now();
@@ -338,9 +339,9 @@
   out["digest"] = Hex(view.digest(), 16);
   for (State state : {State::kAlive, State::kSuspect, State::kDead, State::kLeft})
     out["states"][StateName(state)] = view.Count(state);
-  out["runs"] = ListRuns(view);
+  out["runs"] = CountRuns(view);
   out["members"] = json::array();
-  for (size_t number = from; number < view.size() && out["members"].size() < most; ++number)
+  for (size_t number = from; number < view.size() && out["members"].size() < max_members; ++number)
     out["members"].push_back(MemberToJson(number, now));
   if (size_t next = from + out["members"].size(); next < view.size()) out["next"] = next;
   return out.dump(1) + "\n";
--- a/src/net/members.h
+++ b/src/net/members.h
@@ -44,9 +44,9 @@
  private:
   using udp = asio::ip::udp;
 
-  void StartSpeaking();
+  void StartMembership();
   void AnnounceLeave();
-  void StopSpeaking();
+  void StopMembership();
   void Bind();
   void Read();
   void Tick();
@@ -54,8 +54,8 @@
   void Execute(membership::Actions& actions);
   void LogChange(const membership::Change& change);
   void LogView();
-  int MemberAt(const udp::endpoint& at) const;
-  std::string List(size_t from, size_t most) const;
+  int MemberAt(const udp::endpoint& endpoint) const;
+  std::string RenderPage(size_t from, size_t max_members) const;
   nlohmann::json MemberToJson(size_t number, membership::Micros now) const;
 
   std::optional<PeerConfig> config_;
