--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -14,21 +14,21 @@
 using lemonchute::net::ConfigurationManager;
 using lemonchute::net::RevisionLog;
 
-json Sound(int tries = 6) {
+json ValidConfig(int max_attempts = 6) {
   json config = Config(1, 1);
   config["listen"] = "127.0.0.1:5000";
   config["settings"]["tiers-of-service"][1]["store-size"] = 8;  // holds the largest request
-  config["settings"]["limits"]["try-limit"] = tries;
+  config["settings"]["limits"]["try-limit"] = max_attempts;
   return config;
 }
 
-void Write(const std::string& path, const std::string& text) {
+void ReplaceFile(const std::string& path, const std::string& text) {
   std::ofstream(path + ".new") << text;
   std::filesystem::rename(path + ".new", path);
 }
 
 // All that a folder holds, by name.
-std::map<std::string, std::string> Contents(const std::string& folder) {
+std::map<std::string, std::string> ReadFolder(const std::string& folder) {
   std::map<std::string, std::string> all;
   for (const auto& entry : std::filesystem::directory_iterator(folder)) {
     std::ifstream in(entry.path());
@@ -38,33 +38,34 @@
 }
 
 // A keeper alone, with a holder that notes what it is given.
-struct Alone {
-  explicit Alone(const Folder& folder, const json& file = Sound(), RevisionLog::FailureInjector fails = {})
-      : path(folder.path() + "/file"), keeper(io, path, folder.path(), std::move(fails)) {
-    if (!file.is_null()) Write(path, file.dump());
-    runs = keeper.LoadInitial();
-    keeper.Start([this](const json& document) -> std::function<void()> {
-      if (refuses) throw lemonchute::policy::ProtocolError("no room");
-      ++prepared;
-      return [this, document] { runs = document; };
+struct ManagerFixture {
+  explicit ManagerFixture(const Folder& folder, const json& file = ValidConfig(),
+                          RevisionLog::FailureInjector failure_injector = {})
+      : path(folder.path() + "/file"), manager(io, path, folder.path(), std::move(failure_injector)) {
+    if (!file.is_null()) ReplaceFile(path, file.dump());
+    running_config = manager.LoadInitial();
+    manager.Start([this](const json& document) -> std::function<void()> {
+      if (fail_prepare) throw lemonchute::policy::ProtocolError("no room");
+      ++prepare_count;
+      return [this, document] { running_config = document; };
     });
   }
   lemonchute::net::AdminResponse Call(const std::string& method, const std::string& target,
                                       const json& body = nullptr) {
-    auto answer =
-        keeper.HandleAdminCall({method, "/control/config" + target, body.is_null() ? "" : body.dump(), true});
-    return answer ? *answer : lemonchute::net::AdminResponse{404, "", ""};
+    auto response = manager.HandleAdminCall(
+        {method, "/control/config" + target, body.is_null() ? "" : body.dump(), true});
+    return response ? *response : lemonchute::net::AdminResponse{404, "", ""};
   }
   json Summary() { return json::parse(Call("GET", "").body); }
-  long Figure(const std::string& name) {
+  long Metric(const std::string& name) {
     long found = -1;
-    keeper.AppendMetrics([&](const std::string& n, uint64_t value) {
-      if (n == name) found = static_cast<long>(value);
+    manager.AppendMetrics([&](const std::string& metric, uint64_t value) {
+      if (metric == name) found = static_cast<long>(value);
     });
     return found;
   }
-  int Tries() const { return runs["settings"]["limits"]["try-limit"].get<int>(); }
-  void Until(const std::function<bool()>& done) {
+  int MaxAttempts() const { return running_config["settings"]["limits"]["try-limit"].get<int>(); }
+  void RunUntil(const std::function<bool()>& done) {
     auto end = std::chrono::steady_clock::now() + std::chrono::seconds(kLimitS);
     while (!done() && std::chrono::steady_clock::now() < end) {
       io.restart();
@@ -74,63 +75,63 @@
   }
   boost::asio::io_context io;
   std::string path;
-  ConfigurationManager keeper;
-  json runs;
-  int prepared = 0;
-  bool refuses = false;
+  ConfigurationManager manager;
+  json running_config;
+  int prepare_count = 0;
+  bool fail_prepare = false;
 };
 
-std::string Base(const json& summary, const std::string& more = "") {
-  return "?base=" + summary["running"].dump() + more;
+std::string BaseQuery(const json& summary, const std::string& parameters = "") {
+  return "?base=" + summary["running"].dump() + parameters;
 }
 
-TEST(Keeper, PutsConfirmsReturnsAndRollsBack) {
+TEST(ConfigurationManager, AppliesConfirmsExpiresAndRollsBackUpdates) {
   Folder folder;
-  Alone one(folder);
-  EXPECT_EQ(one.Call("PUT", Base(one.Summary()), Sound(5)).status, 200);
-  EXPECT_EQ(one.Tries(), 5);
-  EXPECT_EQ(one.Figure("config_revision"), 2);
-  EXPECT_EQ(one.Figure("config_file_differs"), 1);
-  EXPECT_EQ(one.Call("PUT", "/rollback").status, 200);
-  EXPECT_EQ(one.Tries(), 6);
-  EXPECT_EQ(one.Figure("config_file_differs"), 0);
-
-  EXPECT_EQ(one.Call("PUT", Base(one.Summary(), "&confirm_s=0.05"), Sound(4)).status, 200);
-  EXPECT_EQ(one.Tries(), 4);
-  EXPECT_EQ(one.Figure("config_on_trial"), 1);
-  one.Until([&] { return one.Tries() == 6; });
-  EXPECT_EQ(one.Figure("config_returned"), 1);
-  EXPECT_EQ(one.Figure("config_on_trial"), 0);
-
-  EXPECT_EQ(one.Call("PUT", Base(one.Summary(), "&confirm_s=600"), Sound(3)).status, 200);
-  EXPECT_EQ(one.Call("PUT", "/confirm?revision=1").status, 409);
-  EXPECT_EQ(one.Call("PUT", "/confirm?revision=" + one.Summary()["running"].dump()).status, 200);
-  EXPECT_FALSE(one.Summary().contains("trial"));
-  EXPECT_EQ(one.Call("PUT", "/rollback?to=2").status, 200);
-  EXPECT_EQ(one.Tries(), 5);
-  EXPECT_EQ(one.Figure("config_put"), 3);
-  EXPECT_EQ(one.Figure("config_rolled_back"), 2);
-  EXPECT_EQ(one.Figure("config_applied"), 0) << "no SIGHUP";
+  ManagerFixture fixture(folder);
+  EXPECT_EQ(fixture.Call("PUT", BaseQuery(fixture.Summary()), ValidConfig(5)).status, 200);
+  EXPECT_EQ(fixture.MaxAttempts(), 5);
+  EXPECT_EQ(fixture.Metric("config_revision"), 2);
+  EXPECT_EQ(fixture.Metric("config_file_differs"), 1);
+  EXPECT_EQ(fixture.Call("PUT", "/rollback").status, 200);
+  EXPECT_EQ(fixture.MaxAttempts(), 6);
+  EXPECT_EQ(fixture.Metric("config_file_differs"), 0);
+
+  EXPECT_EQ(fixture.Call("PUT", BaseQuery(fixture.Summary(), "&confirm_s=0.05"), ValidConfig(4)).status, 200);
+  EXPECT_EQ(fixture.MaxAttempts(), 4);
+  EXPECT_EQ(fixture.Metric("config_on_trial"), 1);
+  fixture.RunUntil([&] { return fixture.MaxAttempts() == 6; });
+  EXPECT_EQ(fixture.Metric("config_returned"), 1);
+  EXPECT_EQ(fixture.Metric("config_on_trial"), 0);
+
+  EXPECT_EQ(fixture.Call("PUT", BaseQuery(fixture.Summary(), "&confirm_s=600"), ValidConfig(3)).status, 200);
+  EXPECT_EQ(fixture.Call("PUT", "/confirm?revision=1").status, 409);
+  EXPECT_EQ(fixture.Call("PUT", "/confirm?revision=" + fixture.Summary()["running"].dump()).status, 200);
+  EXPECT_FALSE(fixture.Summary().contains("trial"));
+  EXPECT_EQ(fixture.Call("PUT", "/rollback?to=2").status, 200);
+  EXPECT_EQ(fixture.MaxAttempts(), 5);
+  EXPECT_EQ(fixture.Metric("config_put"), 3);
+  EXPECT_EQ(fixture.Metric("config_rolled_back"), 2);
+  EXPECT_EQ(fixture.Metric("config_applied"), 0) << "no SIGHUP";
 }
 
-TEST(Keeper, EachNoNamesItsReasonAndChangesNothing) {
+TEST(ConfigurationManager, RejectionsGiveTheirReasonAndChangeNothing) {
   Folder folder;
-  Alone one(folder);
-  json bad = Sound(5);
-  bad["settings"]["limits"].erase("cancel");
-  json elsewhere = Sound(5);
-  elsewhere["listen"] = "127.0.0.1:5001";
-  const auto before = Contents(folder.path());
+  ManagerFixture fixture(folder);
+  json invalid = ValidConfig(5);
+  invalid["settings"]["limits"].erase("cancel");
+  json other_address = ValidConfig(5);
+  other_address["listen"] = "127.0.0.1:5001";
+  const auto before = ReadFolder(folder.path());
   const std::vector<std::tuple<std::string, std::string, json, int, std::string>> calls = {
-      {"PUT", "", Sound(5), 400, "base"},
-      {"PUT", "?base=x", Sound(5), 400, "base"},
-      {"PUT", "?base=1&confirm_s=0", Sound(5), 400, "confirm_s"},
-      {"PUT", "?base=1&confirm_s=nan", Sound(5), 400, "confirm_s"},
-      {"PUT", "?base=1&confirm_s=1e9", Sound(5), 400, "confirm_s"},
-      {"PUT", "?base=7", Sound(5), 409, "revision 7 does not run"},
-      {"PUT", "?base=1", bad, 422, "/settings/limits/cancel"},
-      {"PUT", "?base=1", elsewhere, 422, "needs a restart: /listen"},
-      {"PUT", "/check", bad, 422, "/settings/limits/cancel"},
+      {"PUT", "", ValidConfig(5), 400, "base"},
+      {"PUT", "?base=x", ValidConfig(5), 400, "base"},
+      {"PUT", "?base=1&confirm_s=0", ValidConfig(5), 400, "confirm_s"},
+      {"PUT", "?base=1&confirm_s=nan", ValidConfig(5), 400, "confirm_s"},
+      {"PUT", "?base=1&confirm_s=1e9", ValidConfig(5), 400, "confirm_s"},
+      {"PUT", "?base=7", ValidConfig(5), 409, "revision 7 does not run"},
+      {"PUT", "?base=1", invalid, 422, "/settings/limits/cancel"},
+      {"PUT", "?base=1", other_address, 422, "needs a restart: /listen"},
+      {"PUT", "/check", invalid, 422, "/settings/limits/cancel"},
       {"PUT", "/confirm", nullptr, 400, "revision"},
       {"PUT", "/confirm?revision=1", nullptr, 409, "no revision is on trial"},
       {"PUT", "/rollback", nullptr, 404, "no revision before"},
@@ -142,254 +143,257 @@
       {"DELETE", "", nullptr, 405, "use"},
       {"GET", "/check", nullptr, 405, "use"},
       {"GET", "/nothing", nullptr, 404, ""}};
-  for (const auto& [method, target, body, status, word] : calls) {
-    lemonchute::net::AdminResponse answer = one.Call(method, target, body);
-    EXPECT_EQ(answer.status, status) << method << target << answer.body;
-    EXPECT_NE(answer.body.find(word), std::string::npos) << target << answer.body;
-    EXPECT_EQ(one.Tries(), 6) << target;
+  for (const auto& [method, target, body, status, expected_text] : calls) {
+    lemonchute::net::AdminResponse response = fixture.Call(method, target, body);
+    EXPECT_EQ(response.status, status) << method << target << response.body;
+    EXPECT_NE(response.body.find(expected_text), std::string::npos) << target << response.body;
+    EXPECT_EQ(fixture.MaxAttempts(), 6) << target;
   }
-  EXPECT_EQ(one.prepared, 0);
-  EXPECT_EQ(one.Summary()["running"], 1);
-  EXPECT_EQ(Contents(folder.path()), before);
-  EXPECT_EQ(one.Summary()["turned_down"].size(), 7u) << "those that could be read";
+  EXPECT_EQ(fixture.prepare_count, 0);
+  EXPECT_EQ(fixture.Summary()["running"], 1);
+  EXPECT_EQ(ReadFolder(folder.path()), before);
+  EXPECT_EQ(fixture.Summary()["turned_down"].size(), 7u) << "those that could be read";
 }
 
-TEST(Keeper, ACheckChangesNothing) {
+TEST(ConfigurationManager, CheckChangesNothing) {
   Folder folder;
-  Alone one(folder);
-  const auto before = Contents(folder.path());
-  lemonchute::net::AdminResponse answer = one.Call("POST", "/check", Sound(5));
-  EXPECT_EQ(answer.status, 200) << answer.body;
+  ManagerFixture fixture(folder);
+  const auto before = ReadFolder(folder.path());
+  lemonchute::net::AdminResponse response = fixture.Call("POST", "/check", ValidConfig(5));
+  EXPECT_EQ(response.status, 200) << response.body;
   EXPECT_EQ(
-      json::parse(answer.body)["changes"],
+      json::parse(response.body)["changes"],
       json::parse(
           R"([{"at": "/settings/limits/try-limit", "what": "changed", "takes": "live for new requests"}])"));
-  EXPECT_EQ(one.Tries(), 6);
-  EXPECT_EQ(one.prepared, 1) << "as far as that";
-  EXPECT_EQ(Contents(folder.path()), before);
-  one.refuses = true;
-  EXPECT_EQ(one.Call("POST", "/check", Sound(5)).status, 422);
+  EXPECT_EQ(fixture.MaxAttempts(), 6);
+  EXPECT_EQ(fixture.prepare_count, 1) << "as far as that";
+  EXPECT_EQ(ReadFolder(folder.path()), before);
+  fixture.fail_prepare = true;
+  EXPECT_EQ(fixture.Call("POST", "/check", ValidConfig(5)).status, 422);
 }
 
 // Whatever step of a put fails, all is as it was, and the next one is as good as the first.
-TEST(Keeper, AFailingStepLeavesNoTrace) {
+TEST(ConfigurationManager, FailedUpdateLeavesStateAndFilesUnchanged) {
   for (auto step : {RevisionLog::Step::kOpen, RevisionLog::Step::kWrite, RevisionLog::Step::kSync,
                     RevisionLog::Step::kRename}) {
     for (int error : {ENOSPC, EROFS, EIO}) {
       Folder folder;
-      bool fails = false;
-      Alone one(folder, Sound(), [&](RevisionLog::Step at) { return fails && at == step ? error : 0; });
-      const auto before = Contents(folder.path());
-      const json summary = one.Summary();
-      fails = true;
-      lemonchute::net::AdminResponse answer = one.Call("PUT", "?base=1", Sound(5));
-      EXPECT_EQ(answer.status, 507);
-      EXPECT_NE(answer.body.find(std::strerror(error)), std::string::npos) << answer.body;
-      EXPECT_EQ(one.Tries(), 6);
-      EXPECT_EQ(Contents(folder.path()), before);
-      json after = one.Summary();
+      bool injecting = false;
+      ManagerFixture fixture(folder, ValidConfig(), [&](RevisionLog::Step current) {
+        return injecting && current == step ? error : 0;
+      });
+      const auto before = ReadFolder(folder.path());
+      const json summary = fixture.Summary();
+      injecting = true;
+      lemonchute::net::AdminResponse response = fixture.Call("PUT", "?base=1", ValidConfig(5));
+      EXPECT_EQ(response.status, 507);
+      EXPECT_NE(response.body.find(std::strerror(error)), std::string::npos) << response.body;
+      EXPECT_EQ(fixture.MaxAttempts(), 6);
+      EXPECT_EQ(ReadFolder(folder.path()), before);
+      json after = fixture.Summary();
       after["turned_down"] = summary["turned_down"];
       EXPECT_EQ(after, summary);
-      fails = false;
-      EXPECT_EQ(one.Call("PUT", "?base=1", Sound(5)).status, 200);
-      EXPECT_EQ(one.Tries(), 5);
+      injecting = false;
+      EXPECT_EQ(fixture.Call("PUT", "?base=1", ValidConfig(5)).status, 200);
+      EXPECT_EQ(fixture.MaxAttempts(), 5);
     }
   }
   Folder folder;
-  Alone one(folder);
-  const auto before = Contents(folder.path());
-  one.refuses = true;  // the gateway can't prepare it
-  EXPECT_EQ(one.Call("PUT", "?base=1", Sound(5)).status, 422);
-  EXPECT_EQ(one.Call("PUT", "?base=1&confirm_s=1", Sound(5)).status, 422);
-  EXPECT_EQ(Contents(folder.path()), before);
-  EXPECT_EQ(one.Tries(), 6);
-  EXPECT_EQ(one.io.poll(), 0u) << "no timer either";
-  Write(one.path, Sound(5).dump());
-  one.keeper.OnReloadSignal();
-  EXPECT_EQ(one.Figure("config_rejected"), 1);
-  EXPECT_EQ(one.Tries(), 6);
+  ManagerFixture fixture(folder);
+  const auto before = ReadFolder(folder.path());
+  fixture.fail_prepare = true;  // the gateway can't prepare it
+  EXPECT_EQ(fixture.Call("PUT", "?base=1", ValidConfig(5)).status, 422);
+  EXPECT_EQ(fixture.Call("PUT", "?base=1&confirm_s=1", ValidConfig(5)).status, 422);
+  EXPECT_EQ(ReadFolder(folder.path()), before);
+  EXPECT_EQ(fixture.MaxAttempts(), 6);
+  EXPECT_EQ(fixture.io.poll(), 0u) << "no timer either";
+  ReplaceFile(fixture.path, ValidConfig(5).dump());
+  fixture.manager.OnReloadSignal();
+  EXPECT_EQ(fixture.Metric("config_rejected"), 1);
+  EXPECT_EQ(fixture.MaxAttempts(), 6);
 }
 
 // The platform's word is taken even where it can't be kept; it is kept once that is possible.
-TEST(Keeper, SighupIsTakenOnAFullDisk) {
+TEST(ConfigurationManager, SighupIsAppliedOnAFullDisk) {
   Folder folder;
-  bool fails = false;
-  Alone one(folder, Sound(),
-            [&](RevisionLog::Step at) { return fails && at == RevisionLog::Step::kWrite ? ENOSPC : 0; });
-  fails = true;
-  Write(one.path, Sound(5).dump());
-  one.keeper.OnReloadSignal();
-  EXPECT_EQ(one.Tries(), 5);
-  EXPECT_EQ(one.Figure("config_applied"), 1);
-  EXPECT_EQ(one.Figure("config_unkept"), 1);
-  EXPECT_EQ(one.Summary()["kept"], false);
-  fails = false;
-  one.Until([&] {
-    one.keeper.PollRevisionLog();
-    return one.Summary()["kept"] == true;
+  bool injecting = false;
+  ManagerFixture fixture(folder, ValidConfig(), [&](RevisionLog::Step step) {
+    return injecting && step == RevisionLog::Step::kWrite ? ENOSPC : 0;
+  });
+  injecting = true;
+  ReplaceFile(fixture.path, ValidConfig(5).dump());
+  fixture.manager.OnReloadSignal();
+  EXPECT_EQ(fixture.MaxAttempts(), 5);
+  EXPECT_EQ(fixture.Metric("config_applied"), 1);
+  EXPECT_EQ(fixture.Metric("config_unkept"), 1);
+  EXPECT_EQ(fixture.Summary()["kept"], false);
+  injecting = false;
+  fixture.RunUntil([&] {
+    fixture.manager.PollRevisionLog();
+    return fixture.Summary()["kept"] == true;
   });
-  Alone next(folder, nullptr);
-  EXPECT_EQ(next.Tries(), 5);
+  ManagerFixture next(folder, nullptr);
+  EXPECT_EQ(next.MaxAttempts(), 5);
 }
 
-TEST(Keeper, SighupEndsATrialAndWinsOverAPut) {
+TEST(ConfigurationManager, SighupEndsATrialAndOutdatesTheBaseOfAPut) {
   Folder folder;
-  Alone one(folder);
-  EXPECT_EQ(one.Call("PUT", "?base=1&confirm_s=0.05", Sound(5)).status, 200);
-  Write(one.path, Sound(4).dump());
-  one.keeper.OnReloadSignal();
-  EXPECT_EQ(one.Tries(), 4);
-  EXPECT_FALSE(one.Summary().contains("trial"));
-  EXPECT_EQ(one.Call("PUT", "?base=2", Sound(3)).status, 409) << "made against what runs no more";
-  one.io.poll();  // of the cancelled wait
-  one.io.restart();
-  EXPECT_EQ(one.io.run_one_for(std::chrono::seconds(kLimitS)), 0u) << "the trial's timer is gone";
-  one.keeper.OnReloadSignal();
-  one.keeper.OnReloadSignal();
-  EXPECT_EQ(one.Figure("config_applied"), 3);
-  EXPECT_EQ(one.Summary()["running"], 3) << "the same file is no new revision";
+  ManagerFixture fixture(folder);
+  EXPECT_EQ(fixture.Call("PUT", "?base=1&confirm_s=0.05", ValidConfig(5)).status, 200);
+  ReplaceFile(fixture.path, ValidConfig(4).dump());
+  fixture.manager.OnReloadSignal();
+  EXPECT_EQ(fixture.MaxAttempts(), 4);
+  EXPECT_FALSE(fixture.Summary().contains("trial"));
+  EXPECT_EQ(fixture.Call("PUT", "?base=2", ValidConfig(3)).status, 409) << "made against what runs no more";
+  fixture.io.poll();  // of the cancelled wait
+  fixture.io.restart();
+  EXPECT_EQ(fixture.io.run_one_for(std::chrono::seconds(kLimitS)), 0u) << "the trial's timer is gone";
+  fixture.manager.OnReloadSignal();
+  fixture.manager.OnReloadSignal();
+  EXPECT_EQ(fixture.Metric("config_applied"), 3);
+  EXPECT_EQ(fixture.Summary()["running"], 3) << "the same file is no new revision";
 }
 
 // While the way back can't be gone, what is there stays, and is tried once.
-TEST(Keeper, AWayBackThatIsClosedEndsTheTrial) {
+TEST(ConfigurationManager, FailedRollbackEndsTheTrialAndKeepsTheRevision) {
   Folder folder;
-  Alone one(folder);
-  EXPECT_EQ(one.Call("PUT", "?base=1&confirm_s=0.02", Sound(5)).status, 200);
-  one.refuses = true;
-  one.Until([&] { return !one.Summary().contains("trial"); });
-  EXPECT_EQ(one.Tries(), 5);
-  EXPECT_EQ(one.Figure("config_returned"), 0);
-  EXPECT_EQ(one.Summary()["turned_down"][0]["from"], "return");
+  ManagerFixture fixture(folder);
+  EXPECT_EQ(fixture.Call("PUT", "?base=1&confirm_s=0.02", ValidConfig(5)).status, 200);
+  fixture.fail_prepare = true;
+  fixture.RunUntil([&] { return !fixture.Summary().contains("trial"); });
+  EXPECT_EQ(fixture.MaxAttempts(), 5);
+  EXPECT_EQ(fixture.Metric("config_returned"), 0);
+  EXPECT_EQ(fixture.Summary()["turned_down"][0]["from"], "return");
 }
 
-TEST(Keeper, StartsByTheLastGoodConfigurationBesideABrokenFile) {
-  for (const std::string& broken : {std::string(), std::string("{\"name\": "), Sound().dump().substr(0, 400),
-                                    json{{"name", "x"}}.dump()}) {
+TEST(ConfigurationManager, StartsWithTheLastGoodRevisionIfTheFileIsBroken) {
+  for (const std::string& broken : {std::string(), std::string("{\"name\": "),
+                                    ValidConfig().dump().substr(0, 400), json{{"name", "x"}}.dump()}) {
     Folder folder;
-    { Alone one(folder); }
-    Write(folder.path() + "/file", broken);
-    Alone next(folder, nullptr);
-    EXPECT_EQ(next.Tries(), 6);
-    EXPECT_EQ(next.runs["known"], Sound()["known"]) << "the list that it had";
-    EXPECT_EQ(next.Figure("config_started_by_record"), 1);
+    { ManagerFixture fixture(folder); }
+    ReplaceFile(folder.path() + "/file", broken);
+    ManagerFixture next(folder, nullptr);
+    EXPECT_EQ(next.MaxAttempts(), 6);
+    EXPECT_EQ(next.running_config["known"], ValidConfig()["known"]) << "the list that it had";
+    EXPECT_EQ(next.Metric("config_started_by_record"), 1);
     EXPECT_EQ(next.Summary()["file"], "broken");
     EXPECT_TRUE(next.Summary().contains("file_fault"));
-    Write(next.path, Sound(5).dump());
-    next.keeper.OnReloadSignal();
-    EXPECT_EQ(next.Tries(), 5);
-    EXPECT_EQ(next.Figure("config_started_by_record"), 0);
+    ReplaceFile(next.path, ValidConfig(5).dump());
+    next.manager.OnReloadSignal();
+    EXPECT_EQ(next.MaxAttempts(), 5);
+    EXPECT_EQ(next.Metric("config_started_by_record"), 0);
   }
 }
 
-TEST(Keeper, WithoutAFileAndARecordItDoesNotStart) {
+TEST(ConfigurationManager, DoesNotStartWithoutAValidFileOrRevisionLog) {
   for (const char* record : {"", "{}", "not a record\n"}) {
     Folder folder;
-    Write(folder.path() + "/lb-config.json", record);
-    EXPECT_THROW(Alone(folder, nullptr), lemonchute::policy::ProtocolError);
-    Alone one(folder);
-    EXPECT_EQ(one.Summary()["running"], 1) << "a file alone is enough";
+    ReplaceFile(folder.path() + "/lb-config.json", record);
+    EXPECT_THROW(ManagerFixture(folder, nullptr), lemonchute::policy::ProtocolError);
+    ManagerFixture fixture(folder);
+    EXPECT_EQ(fixture.Summary()["running"], 1) << "a file alone is enough";
   }
 }
 
 // Two processes of one gateway: whichever is told, both end on the same revision, and the trial's limit is
 // kept by whichever is there.
-TEST(Keeper, TwoProcessesEndOnTheSameRevision) {
+TEST(ConfigurationManager, TwoProcessesConvergeOnTheSameRevision) {
   Folder folder;
-  auto old = std::make_unique<Alone>(folder);
-  EXPECT_EQ(old->Call("PUT", "?base=1&confirm_s=3600", Sound(5)).status, 200);
-  Alone next(folder, nullptr);
-  EXPECT_EQ(next.Tries(), 5) << "an operator's put outlives the start";
+  auto old = std::make_unique<ManagerFixture>(folder);
+  EXPECT_EQ(old->Call("PUT", "?base=1&confirm_s=3600", ValidConfig(5)).status, 200);
+  ManagerFixture next(folder, nullptr);
+  EXPECT_EQ(next.MaxAttempts(), 5) << "an operator's put outlives the start";
   EXPECT_TRUE(next.Summary().contains("trial"));
   EXPECT_EQ(next.Call("PUT", "/confirm?revision=2").status, 200);
-  old->keeper.PollRevisionLog();
+  old->manager.PollRevisionLog();
   EXPECT_FALSE(old->Summary().contains("trial"));
-  EXPECT_EQ(old->Call("PUT", "?base=2", Sound(4)).status, 200);
-  next.keeper.PollRevisionLog();
-  EXPECT_EQ(next.Tries(), 4);
-  EXPECT_EQ(next.Figure("config_followed"), 1);
+  EXPECT_EQ(old->Call("PUT", "?base=2", ValidConfig(4)).status, 200);
+  next.manager.PollRevisionLog();
+  EXPECT_EQ(next.MaxAttempts(), 4);
+  EXPECT_EQ(next.Metric("config_followed"), 1);
   // Both are told at once, without a look at the record in between.
-  EXPECT_EQ(old->Call("PUT", "?base=3", Sound(3)).status, 200);
-  EXPECT_EQ(next.Call("PUT", "?base=3", Sound(2)).status, 409) << "the other one was faster";
-  EXPECT_EQ(next.Tries(), 3);
-  Write(next.path, Sound(7).dump());
-  next.keeper.OnReloadSignal();
-  old->keeper.OnReloadSignal();
+  EXPECT_EQ(old->Call("PUT", "?base=3", ValidConfig(3)).status, 200);
+  EXPECT_EQ(next.Call("PUT", "?base=3", ValidConfig(2)).status, 409) << "the other one was faster";
+  EXPECT_EQ(next.MaxAttempts(), 3);
+  ReplaceFile(next.path, ValidConfig(7).dump());
+  next.manager.OnReloadSignal();
+  old->manager.OnReloadSignal();
   EXPECT_EQ(old->Summary()["history"], next.Summary()["history"]);
-  EXPECT_EQ(old->Tries(), 7);
+  EXPECT_EQ(old->MaxAttempts(), 7);
   // The one that set the limit goes; the other one returns in time.
-  EXPECT_EQ(old->Call("PUT", Base(old->Summary(), "&confirm_s=0.05"), Sound(8)).status, 200);
-  next.keeper.PollRevisionLog();
+  EXPECT_EQ(old->Call("PUT", BaseQuery(old->Summary(), "&confirm_s=0.05"), ValidConfig(8)).status, 200);
+  next.manager.PollRevisionLog();
   old.reset();
-  EXPECT_EQ(next.Tries(), 8);
-  next.Until([&] { return next.Tries() == 7; });
+  EXPECT_EQ(next.MaxAttempts(), 8);
+  next.RunUntil([&] { return next.MaxAttempts() == 7; });
 }
 
-TEST(Keeper, WhileTheOtherProcessHoldsTheRecordPutsAreAskedToComeAgain) {
+TEST(ConfigurationManager, PutsGet503WhileAnotherProcessHoldsTheLock) {
   Folder folder;
-  Alone one(folder);
+  ManagerFixture fixture(folder);
   RevisionLog other(folder.path());
   std::optional<RevisionLog::Lock> lock;
   lock.emplace(&other);
   ASSERT_TRUE(lock->held());
-  EXPECT_EQ(one.Call("PUT", "?base=1", Sound(5)).status, 503);
-  Write(one.path, Sound(4).dump());
-  one.keeper.OnReloadSignal();
-  EXPECT_EQ(one.Tries(), 6) << "waits for a moment";
-  one.Until([&] { return one.Tries() == 4; });  // a stopped process is not waited for
+  EXPECT_EQ(fixture.Call("PUT", "?base=1", ValidConfig(5)).status, 503);
+  ReplaceFile(fixture.path, ValidConfig(4).dump());
+  fixture.manager.OnReloadSignal();
+  EXPECT_EQ(fixture.MaxAttempts(), 6) << "waits for a moment";
+  fixture.RunUntil([&] { return fixture.MaxAttempts() == 4; });  // a stopped process is not waited for
   lock.reset();
-  EXPECT_EQ(one.Call("PUT", Base(one.Summary()), Sound(5)).status, 200);
+  EXPECT_EQ(fixture.Call("PUT", BaseQuery(fixture.Summary()), ValidConfig(5)).status, 200);
 }
 
-TEST(Keeper, AfterSigtermOperatorsChangeNothing) {
+TEST(ConfigurationManager, AfterSigtermOnlyTheFileChangesTheConfiguration) {
   Folder folder;
-  Alone one(folder);
-  one.keeper.StopUpdates();
-  EXPECT_EQ(one.Call("PUT", "?base=1", Sound(5)).status, 409);
-  Write(one.path, Sound(4).dump());
-  one.keeper.OnReloadSignal();
-  EXPECT_EQ(one.Tries(), 4) << "the platform's signal still counts";
+  ManagerFixture fixture(folder);
+  fixture.manager.StopUpdates();
+  EXPECT_EQ(fixture.Call("PUT", "?base=1", ValidConfig(5)).status, 409);
+  ReplaceFile(fixture.path, ValidConfig(4).dump());
+  fixture.manager.OnReloadSignal();
+  EXPECT_EQ(fixture.MaxAttempts(), 4) << "the platform's signal still counts";
 }
 
 // A file as large as no file should be is turned down without being read.
-TEST(Keeper, TurnsDownAFileOfAHundredMegabytesAtOnce) {
+TEST(ConfigurationManager, RejectsAFileOfAHundredMegabytesAtOnce) {
   Folder folder;
-  Alone one(folder);
-  int file = open((one.path + ".big").c_str(), O_WRONLY | O_CREAT, 0600);
+  ManagerFixture fixture(folder);
+  int file = open((fixture.path + ".big").c_str(), O_WRONLY | O_CREAT, 0600);
   ASSERT_EQ(ftruncate(file, 100 << 20), 0);
   close(file);
-  std::filesystem::rename(one.path + ".big", one.path);
+  std::filesystem::rename(fixture.path + ".big", fixture.path);
   auto before = std::chrono::steady_clock::now();
-  one.keeper.OnReloadSignal();
+  fixture.manager.OnReloadSignal();
   EXPECT_LT(std::chrono::steady_clock::now() - before, std::chrono::seconds(1));
-  EXPECT_EQ(one.Figure("config_rejected"), 1);
+  EXPECT_EQ(fixture.Metric("config_rejected"), 1);
 }
 
 // The same through the real program.
-json ToStart(int tries = 6) {
-  json config = Sound(tries);
+json StartableConfig(int max_attempts = 6) {
+  json config = ValidConfig(max_attempts);
   config["listen"] = "127.0.0.1:0";
   return config;
 }
-json SoundFor(const Site& site, int tries = 6) {
-  json config = ToStart(tries);
+json ConfigFor(const Site& site, int max_attempts = 6) {
+  json config = StartableConfig(max_attempts);
   config["discovery"] = "127.0.0.1:" + std::to_string(site.discovery.port());
   config["counter"] = "127.0.0.1:" + std::to_string(site.counter.port());
   return config;
 }
-json Read(int ops, const std::string& target = "") {
-  return json::parse(Call(ops, "GET", "/control/config" + target).body);
+json GetConfig(int admin_port, const std::string& target = "") {
+  return json::parse(Call(admin_port, "GET", "/control/config" + target).body);
 }
-Message Put(int ops, const json& config, const std::string& more = "") {
-  std::string base_revision = Read(ops)["running"].dump();
-  return Call(ops, "PUT", "/control/config?base=" + base_revision + more, config.dump());
+Message PutConfig(int admin_port, const json& config, const std::string& parameters = "") {
+  std::string base_revision = GetConfig(admin_port)["running"].dump();
+  return Call(admin_port, "PUT", "/control/config?base=" + base_revision + parameters, config.dump());
 }
 
-TEST(Door, TakesBodiesOfBoundedSizeAndSaysWhatItMisses) {
+TEST(AdminEndpoint, LimitsBodiesAndRejectsMalformedRequests) {
   Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}), ToStart(), LEMONCHUTE_GATEWAY, 0, kOps);
-  int ops = site.gateway->ops_port;
+  Site site(json::array({Entry("s1", backend.port())}), StartableConfig(), LEMONCHUTE_GATEWAY, 0, kOps);
+  int admin_port = site.gateway->ops_port;
   auto status = [&](const std::string& text) {
-    auto caller = Wire::To(ops);
+    auto caller = Wire::To(admin_port);
     return Ask(*caller, text).status();
   };
   const std::string put = "PUT /control/config?base=1 HTTP/1.1\r\nHost: ops\r\n";
@@ -400,8 +404,8 @@
   EXPECT_EQ(status(put + "X: " + std::string(9000, 'x') + "\r\n\r\n"), 431);
   EXPECT_EQ(status(put + "Content-Length: 1\r\n\r\n{"), 422);
   EXPECT_EQ(status(put + "Content-Length: 131072\r\n\r\n" + std::string(131072, '[')), 422);
-  EXPECT_EQ(Read(ops)["running"], 1);
-  json fresh = Read(ops, "/running");
+  EXPECT_EQ(GetConfig(admin_port)["running"], 1);
+  json fresh = GetConfig(admin_port, "/running");
   fresh["settings"]["limits"]["try-limit"] = 2;
   std::string text = fresh.dump(), chunks;
   for (size_t at = 0; at < text.size(); at += 1000) {
@@ -412,32 +416,32 @@
   }
   std::vector<std::unique_ptr<Wire>> callers;  // beside callers that dribble their bodies
   for (int i = 0; i < 40; ++i) {
-    callers.push_back(Wire::To(ops));
+    callers.push_back(Wire::To(admin_port));
     callers.back()->Write(put + "Content-Length: 100000\r\n\r\n{\"name\"");
   }
   EXPECT_EQ(status(put + "Transfer-Encoding: chunked\r\n\r\n" + chunks + "0\r\n\r\n"), 200);
-  EXPECT_EQ(Read(ops, "/running"), fresh);
-  EXPECT_EQ(Read(ops, "/revisions/1")["settings"]["limits"]["try-limit"], 6);
-  EXPECT_EQ(Figure(ops, "config_revision"), 2);
+  EXPECT_EQ(GetConfig(admin_port, "/running"), fresh);
+  EXPECT_EQ(GetConfig(admin_port, "/revisions/1")["settings"]["limits"]["try-limit"], 6);
+  EXPECT_EQ(Figure(admin_port, "config_revision"), 2);
 }
 
 // Limits, zones and plans take hold at once, and a customer of a dropped plan goes on under another.
-TEST(Reload, LimitsZonesAndPlansAreLive) {
+TEST(Reload, LimitsZonesAndPlansApplyWithoutARestart) {
   // Which one is quicker is learned as answers come, so that a busy machine might outweigh the zone. Of each
   // further request's far ones one at least has not answered yet, and costs less than any near one whatever
   // that has been seen to take.
-  constexpr int kFar = 12;
+  constexpr int kFarBackends = 12;
   Backend near(Says(Ok("near"))), far(Says(Ok("far")));
   json entries = json::array({Entry("s1", near.port())});
-  for (int i = 0; i < kFar; ++i) {
+  for (int i = 0; i < kFarBackends; ++i) {
     entries.push_back(Entry(std::string("t").append(std::to_string(i)), far.port()));
     entries.back()["zone"] = "c";
   }
-  Site site(entries, ToStart(), LEMONCHUTE_GATEWAY, 0, kOps);
-  int ops = site.gateway->ops_port;
+  Site site(entries, StartableConfig(), LEMONCHUTE_GATEWAY, 0, kOps);
+  int admin_port = site.gateway->ops_port;
   auto client = site.gateway->Connect();
   EXPECT_EQ(Ask(*client, Request("quote")).status(), 200);
-  json config = Read(ops, "/running");
+  json config = GetConfig(admin_port, "/running");
   config["settings"]["zones"] = {"b", "c"};
   config["settings"]["zone"] = 1;  // now in the far one's
   config["settings"]["tiers-of-service"].erase(0);
@@ -445,49 +449,49 @@
   config["settings"]["tiers-of-service"][0]["units-per-s"] = 100;
   config["settings"]["tiers-of-service"][0]["store-size"] = 400;
   config["limits"]["sockets"] = 512;
-  int lists = site.discovery.relisted.count();
-  Message answer = Put(ops, config);
-  ASSERT_EQ(answer.status(), 200) << answer.body;
-  ASSERT_TRUE(site.discovery.relisted.Wait(lists + 1)) << "read anew, by the new names of zones";
+  int lists_before = site.discovery.relisted.count();
+  Message response = PutConfig(admin_port, config);
+  ASSERT_EQ(response.status(), 200) << response.body;
+  ASSERT_TRUE(site.discovery.relisted.Wait(lists_before + 1)) << "read anew, by the new names of zones";
   EXPECT_EQ(Ask(*client, Request("quote")).status(), 400) << "business is gone";
-  for (int i = 0; i < kFar; ++i) {
+  for (int i = 0; i < kFarBackends; ++i) {
     std::string request = Request("quote");  // of the same customer
-    answer = Ask(*client, request.replace(request.find("business"), 8, "gold"));
-    EXPECT_EQ(answer.status(), 200);
-    EXPECT_EQ(answer.body, "far") << "its own zone goes first: " << i;
+    response = Ask(*client, request.replace(request.find("business"), 8, "gold"));
+    EXPECT_EQ(response.status(), 200);
+    EXPECT_EQ(response.body, "far") << "its own zone goes first: " << i;
   }
-  EXPECT_EQ(Call(ops, "PUT", "/control/config/rollback").status(), 200);
+  EXPECT_EQ(Call(admin_port, "PUT", "/control/config/rollback").status(), 200);
   EXPECT_EQ(Ask(*client, Request("quote")).status(), 200);
 }
 
 // Where descriptors are short, connections to backends are; more of them are of use at once.
-TEST(Reload, MoreDescriptorsMakeRoomAtOnce) {
+TEST(Reload, RaisedDescriptorLimitAppliesAtOnce) {
   Event held, go;
   Backend backend([&](const Message&, Wire&) { return held.Add(), go.Wait(), Ok("x"); });
-  json config = ToStart(), entries = json::array();
+  json config = StartableConfig(), entries = json::array();
   config["limits"]["sockets"] = 64;  // of which 8 are for backends
   for (const char* name : {"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"}) {
     entries.push_back(Entry(name, backend.port()));
   }
   Site site(entries, config, LEMONCHUTE_GATEWAY, 0, kOps);
   std::vector<std::unique_ptr<Wire>> clients;
-  auto hold = [&](int held_then) {
+  auto hold = [&](int expected_held) {
     clients.push_back(site.gateway->Connect());
     clients.back()->Write(Fresh("send-lead"));
-    return held.Wait(held_then);
+    return held.Wait(expected_held);
   };
   for (int i = 1; i <= 8; ++i) ASSERT_TRUE(hold(i));
   EXPECT_EQ(Ask(*site.gateway->Connect(), Fresh("send-lead")).status(), 503);
-  json more = Read(site.gateway->ops_port, "/running");
-  more["limits"]["sockets"] = 256;
-  EXPECT_EQ(Put(site.gateway->ops_port, more).status(), 200);
+  json raised = GetConfig(site.gateway->ops_port, "/running");
+  raised["limits"]["sockets"] = 256;
+  EXPECT_EQ(PutConfig(site.gateway->ops_port, raised).status(), 200);
   EXPECT_TRUE(hold(9));
   go.Add();
   for (auto& client : clients) EXPECT_EQ(client->Read().status(), 200);
 }
 
 // A start beside a broken file goes by the last good one, says so, and is ready.
-TEST(Reload, StartsBesideABrokenFile) {
+TEST(Reload, StartsWithTheLastGoodConfigurationIfTheFileIsBroken) {
   Folder folder;
   Process::Environment environment = kOps;
   environment["TMPDIR"] = folder.path();
@@ -508,18 +512,18 @@
   Folder folder;
   std::string path = folder.path() + "/file";
   auto check = [&](const std::string& text) {
-    Write(path, text);
+    ReplaceFile(path, text);
     std::string command =
         std::string(LEMONCHUTE_GATEWAY) + " --check " + path + " > " + folder.path() + "/out 2>&1";
     int status = std::system(command.c_str());
     std::ifstream in(folder.path() + "/out");
     return std::pair(WEXITSTATUS(status), std::string(std::istreambuf_iterator<char>(in), {}));
   };
-  EXPECT_EQ(check(Sound().dump()), std::pair(0, std::string("0 faults, 0 warnings\n")));
-  json bad = Sound();
-  bad["settings"]["request-classes"][0]["aim-s"] = 9;
-  bad["listen"] = 7;
-  auto [status, out] = check(bad.dump());
+  EXPECT_EQ(check(ValidConfig().dump()), std::pair(0, std::string("0 faults, 0 warnings\n")));
+  json invalid = ValidConfig();
+  invalid["settings"]["request-classes"][0]["aim-s"] = 9;
+  invalid["listen"] = 7;
+  auto [status, out] = check(invalid.dump());
   EXPECT_EQ(status, 1);
   EXPECT_NE(out.find("fault: /listen: "), std::string::npos) << out;
   EXPECT_NE(out.find("fault: /settings/request-classes/0/aim-s: "), std::string::npos) << out;
@@ -529,106 +533,106 @@
 }
 
 // Signals at odd times: in drain, and while the process ends.
-TEST(Reload, IsTakenInDrainAndWhileEnding) {
+TEST(Reload, SighupIsAppliedWhileDrainingAndShuttingDown) {
   Event held, go;
-  Backend backend([&](const Message& m, Wire&) {
-    if (m.body == "wait") held.Add(), go.Wait();
+  Backend backend([&](const Message& request, Wire&) {
+    if (request.body == "wait") held.Add(), go.Wait();
     return Ok("x");
   });
-  Site site(json::array({Entry("s1", backend.port())}), ToStart(), LEMONCHUTE_GATEWAY, 0, kOps);
-  int ops = site.gateway->ops_port;
+  Site site(json::array({Entry("s1", backend.port())}), StartableConfig(), LEMONCHUTE_GATEWAY, 0, kOps);
+  int admin_port = site.gateway->ops_port;
   auto waiting = site.gateway->Connect(), client = site.gateway->Connect();
-  EXPECT_EQ(Call(ops, "PUT", "/control/out-of-service").status(), 200);
-  json config = SoundFor(site, 3);
+  EXPECT_EQ(Call(admin_port, "PUT", "/control/out-of-service").status(), 200);
+  json config = ConfigFor(site, 3);
   site.gateway->Reconfigure(config);
-  AwaitFigure(ops, "config_applied", 1);
-  EXPECT_EQ(Call(ops, "PUT", "/control/in-service").status(), 200);
+  AwaitFigure(admin_port, "config_applied", 1);
+  EXPECT_EQ(Call(admin_port, "PUT", "/control/in-service").status(), 200);
   EXPECT_EQ(Ask(*client, kReady).status(), 200);
   waiting->Write(Request("send-lead", 1, 3000, "", "wait"));
   ASSERT_TRUE(held.Wait());
   site.gateway->Signal(SIGTERM);
-  for (int i = 0; i < 3000 && Call(ops, "PUT", "/control/in-service").status() != 409; ++i) {
+  for (int i = 0; i < 3000 && Call(admin_port, "PUT", "/control/in-service").status() != 409; ++i) {
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
-  EXPECT_EQ(Put(ops, SoundFor(site, 2)).status(), 409);
-  site.gateway->Reconfigure(SoundFor(site, 4));
-  AwaitFigure(ops, "config_applied", 2);
+  EXPECT_EQ(PutConfig(admin_port, ConfigFor(site, 2)).status(), 409);
+  site.gateway->Reconfigure(ConfigFor(site, 4));
+  AwaitFigure(admin_port, "config_applied", 2);
   go.Add();
   EXPECT_EQ(waiting->Read().status(), 200);
   EXPECT_EQ(site.gateway->Exit(), 0);
 }
 
 // Two processes of an upgrade: a put on trial outlives the old one, and is taken back in time by the new one.
-TEST(Upgrade, BothProcessesEndOnTheSameRevision) {
+TEST(Upgrade, BothProcessesConvergeOnTheSameRevision) {
   Upgrade upgrade;
   auto old = upgrade.Start();
   Upgrade::AwaitReady(*old);
-  json config = Read(old->ops_port, "/running");
+  json config = GetConfig(old->ops_port, "/running");
   config["settings"]["tiers-of-service"][1]["store-size"] = 8;
-  EXPECT_EQ(Put(old->ops_port, config).status(), 200);
+  EXPECT_EQ(PutConfig(old->ops_port, config).status(), 200);
   auto next = upgrade.Start();
   Upgrade::AwaitReady(*next);
   EXPECT_EQ(Figure(next->ops_port, "config_revision"), 2);
   config["settings"]["limits"]["try-limit"] = 2;
-  EXPECT_EQ(Put(next->ops_port, config, "&confirm_s=1").status(), 200);
+  EXPECT_EQ(PutConfig(next->ops_port, config, "&confirm_s=1").status(), 200);
   AwaitFigure(old->ops_port, "config_revision", 3);
-  EXPECT_EQ(Read(old->ops_port)["history"], Read(next->ops_port)["history"]);
+  EXPECT_EQ(GetConfig(old->ops_port)["history"], GetConfig(next->ops_port)["history"]);
   next->Signal(SIGKILL);
   EXPECT_EQ(next->Exit(), -SIGKILL);
   AwaitFigure(old->ops_port, "config_revision", 4);
-  EXPECT_EQ(Read(old->ops_port)["history"][0]["from"], "return");
-  EXPECT_EQ(Read(old->ops_port, "/running")["settings"]["limits"]["try-limit"], 6);
+  EXPECT_EQ(GetConfig(old->ops_port)["history"][0]["from"], "return");
+  EXPECT_EQ(GetConfig(old->ops_port, "/running")["settings"]["limits"]["try-limit"], 6);
 }
 
 // Revisions put, confirmed, left to return, rolled back and replaced at random under load: each request gets
 // one answer, by the rules of one revision, and goes to a backend once.
-TEST(Reload, UnderLoadEachRequestHasOneAnswerUnderOneRevision) {
+TEST(Reload, UnderLoadEachRequestGetsOneAnswerUnderOneRevision) {
   for (unsigned seed : {1u, 2u, 3u}) {
     std::mutex mutex;
-    std::map<std::string, int> seen;
-    Backend backend([&](const Message& m, Wire&) {
+    std::map<std::string, int> attempts_by_id;
+    Backend backend([&](const Message& request, Wire&) {
       std::lock_guard lock(mutex);
-      ++seen[m.Header("Request-Id")];
-      return Ok(m.Header("Request-Id"));
+      ++attempts_by_id[request.Header("Request-Id")];
+      return Ok(request.Header("Request-Id"));
     });
     Folder folder;
     Process::Environment environment = kOps;
     environment["TMPDIR"] = folder.path();
-    json first = ToStart();
-    json& plan = first["settings"]["tiers-of-service"][0];
+    json initial = StartableConfig();
+    json& plan = initial["settings"]["tiers-of-service"][0];
     plan["units-per-s"] = 1e6;
     plan["store-size"] = 1e6;
-    Site site(json::array({Entry("s1", backend.port())}), first, LEMONCHUTE_GATEWAY, 0, environment);
-    int ops = site.gateway->ops_port;
+    Site site(json::array({Entry("s1", backend.port())}), initial, LEMONCHUTE_GATEWAY, 0, environment);
+    int admin_port = site.gateway->ops_port;
     std::atomic<bool> done{false};
-    std::atomic<int> ok{0}, other{0}, wrong{0};
+    std::atomic<int> ok_responses{0}, other_responses{0}, wrong_responses{0};
     std::vector<std::thread> clients;
-    for (int c = 0; c < 4; ++c) {
-      clients.emplace_back([&, c] {
+    for (int client = 0; client < 4; ++client) {
+      clients.emplace_back([&, client] {
         auto wire = site.gateway->Connect();
         for (int i = 0; !done; ++i) {
           // quote is free in some revisions and single_shot in others; extra is there in some.
           std::string request = Request(i % 3 == 0 ? "extra" : "quote");
           if (i % 3 == 0) request.replace(0, 4, "GET");
-          if (i % 7 == c) request.replace(0, 3, "POST");
+          if (i % 7 == client) request.replace(0, 3, "POST");
           size_t at = request.find("Request-Id: ") + 12;
           std::string id = request.substr(at, request.find('\r', at) - at);
-          Message answer = Ask(*wire, request);
-          int status = answer.status();
+          Message response = Ask(*wire, request);
+          int status = response.status();
           bool allowed = status == 200 || status == 400 || status == 405 || status == 429 || status == 503;
-          if (!allowed || (status == 200 && answer.body != id)) ++wrong;
-          ++(status == 200 ? ok : other);
+          if (!allowed || (status == 200 && response.body != id)) ++wrong_responses;
+          ++(status == 200 ? ok_responses : other_responses);
           if (!wire->Open()) wire = site.gateway->Connect();
         }
       });
     }
-    auto put = [&](const json& config, const std::string& more) {
-      int status = Put(ops, config, more).status();
+    auto put = [&](const json& config, const std::string& parameters) {
+      int status = PutConfig(admin_port, config, parameters).status();
       EXPECT_TRUE(status == 200 || status == 409) << status;  // 409: a trial has returned just before
     };
     std::mt19937 random(seed);
     for (int i = 0; i < 60; ++i) {
-      json config = first;
+      json config = initial;
       config["discovery"] = "127.0.0.1:" + std::to_string(site.discovery.port());
       config["counter"] = "127.0.0.1:" + std::to_string(site.counter.port());
       json& classes = config["settings"]["request-classes"];
@@ -641,40 +645,42 @@
       }
       switch (random() % 5) {
         case 0: {
-          long applied = Figure(ops, "config_applied");
+          long applied = Figure(admin_port, "config_applied");
           site.gateway->Reconfigure(config);
-          AwaitFigure(ops, "config_applied", applied + 1);
+          AwaitFigure(admin_port, "config_applied", applied + 1);
           break;
         }
-        case 1: Call(ops, "PUT", "/control/config/rollback"); break;
+        case 1: Call(admin_port, "PUT", "/control/config/rollback"); break;
         case 2: put(config, "&confirm_s=0.01"); break;
         case 3:
           put(config, "&confirm_s=60");
-          Call(ops, "PUT", "/control/config/confirm?revision=" + Read(ops)["running"].dump());
+          Call(admin_port, "PUT",
+               "/control/config/confirm?revision=" + GetConfig(admin_port)["running"].dump());
           break;
         default: put(config, "");
       }
     }
     done = true;
     for (auto& client : clients) client.join();
-    EXPECT_EQ(wrong, 0) << "seed " << seed;
-    EXPECT_GT(ok, 100);
-    EXPECT_GT(other, 0);
-    EXPECT_EQ(static_cast<int>(seen.size()), ok) << "a backend made each answer";
-    for (const auto& [id, times] : seen) EXPECT_EQ(times, 1) << id;
-    EXPECT_EQ(Figure(ops, "ok.quote") + std::max(0L, Figure(ops, "ok.extra")), ok);
-    EXPECT_EQ(Figure(ops, "active"), 0);
+    EXPECT_EQ(wrong_responses, 0) << "seed " << seed;
+    EXPECT_GT(ok_responses, 100);
+    EXPECT_GT(other_responses, 0);
+    EXPECT_EQ(static_cast<int>(attempts_by_id.size()), ok_responses) << "a backend made each answer";
+    for (const auto& [id, attempts] : attempts_by_id) EXPECT_EQ(attempts, 1) << id;
+    EXPECT_EQ(Figure(admin_port, "ok.quote") + std::max(0L, Figure(admin_port, "ok.extra")), ok_responses);
+    EXPECT_EQ(Figure(admin_port, "active"), 0);
   }
 }
 
 // 2,000 revisions in a row, each with a class, a plan and a zone that were never there: nothing grows.
-TEST(Reload, TwoThousandInARowLeaveNothingBehind) {
+TEST(Reload, TwoThousandRevisionsLeakNoMemoryOrDescriptors) {
   Backend backend(Says(Ok("x")));
   Folder folder;
   Process::Environment environment = kOps;
   environment["TMPDIR"] = folder.path();
-  Site site(json::array({Entry("s1", backend.port())}), ToStart(), LEMONCHUTE_GATEWAY, 0, environment);
-  int ops = site.gateway->ops_port;
+  Site site(json::array({Entry("s1", backend.port())}), StartableConfig(), LEMONCHUTE_GATEWAY, 0,
+            environment);
+  int admin_port = site.gateway->ops_port;
   std::atomic<bool> done{false};
   std::thread load([&] {
     auto wire = site.gateway->Connect();
@@ -683,27 +689,28 @@
       EXPECT_TRUE(status == 200 || status == 429 || status == 503) << status;
     }
   });
-  json config = Read(ops, "/running");
-  long memory = 0;
+  json config = GetConfig(admin_port, "/running");
+  long memory_kb = 0;
   size_t descriptors = 0;
   for (int i = 0; i < 2000; ++i) {
-    std::string n = std::to_string(i);
-    config["settings"]["request-classes"][1]["name"] = "class-" + n;
-    config["settings"]["tiers-of-service"][1]["name"] = "plan-" + n;
-    config["settings"]["zones"][1] = "zone-" + n;
+    std::string number = std::to_string(i);
+    config["settings"]["request-classes"][1]["name"] = "class-" + number;
+    config["settings"]["tiers-of-service"][1]["name"] = "plan-" + number;
+    config["settings"]["zones"][1] = "zone-" + number;
     std::string base_revision = std::to_string(i + 1);
-    ASSERT_EQ(Call(ops, "PUT", "/control/config?base=" + base_revision, config.dump()).status(), 200) << i;
-    if (i == 500) memory = site.gateway->MostMemory(), descriptors = site.gateway->Descriptors();
+    ASSERT_EQ(Call(admin_port, "PUT", "/control/config?base=" + base_revision, config.dump()).status(), 200)
+        << i;
+    if (i == 500) memory_kb = site.gateway->MostMemory(), descriptors = site.gateway->Descriptors();
   }
   done = true;
   load.join();
-  EXPECT_EQ(Figure(ops, "config_revision"), 2001);
+  EXPECT_EQ(Figure(admin_port, "config_revision"), 2001);
 #ifndef __SANITIZE_ADDRESS__  // which keeps what was freed
-  EXPECT_LE(site.gateway->MostMemory(), memory + 512) << "kB, since the first 500 of them";
+  EXPECT_LE(site.gateway->MostMemory(), memory_kb + 512) << "kB, since the first 500 of them";
 #endif
   EXPECT_LE(site.gateway->Descriptors(), descriptors + 2);
-  EXPECT_LE(Call(ops, "GET", "/control/counters").body.size(), 8192u);
-  EXPECT_EQ(Read(ops)["history"].size(), lemonchute::config::kMaxRevisions);
+  EXPECT_LE(Call(admin_port, "GET", "/control/counters").body.size(), 8192u);
+  EXPECT_EQ(GetConfig(admin_port)["history"].size(), lemonchute::config::kMaxRevisions);
 }
 
 }  // namespace
--- a/tests/stored_files_test.cpp
+++ b/tests/stored_files_test.cpp
@@ -133,7 +133,7 @@
   EXPECT_EQ(state.initial_endpoints.at("index"), 41);
 }
 
-TEST_F(StoredFiles, TheRevisionLogOfTheVersionBeforeIsRead) {
+TEST_F(StoredFiles, ReadsTheRevisionLogOfThePreviousVersion) {
   Write("lb-config.json", kRevisionLog);
   net::RevisionLog log(folder_);
   const auto state = log.Read();
@@ -141,7 +141,7 @@
   ExpectStoredRevisions(*state);
 }
 
-TEST_F(StoredFiles, TheRevisionLogIsWrittenByteForByteAsTheVersionBeforeReadsIt) {
+TEST_F(StoredFiles, WritesTheRevisionLogByteForByteAsThePreviousVersion) {
   const auto state = config::ParseState(kRevisionLog);
   ASSERT_TRUE(state);
   net::RevisionLog log(folder_);
@@ -149,7 +149,7 @@
   EXPECT_EQ(Read("lb-config.json"), kRevisionLog);
 }
 
-TEST_F(StoredFiles, AStartGoesOnWithTheRevisionLogOfTheVersionBefore) {
+TEST_F(StoredFiles, ResumesFromTheRevisionLogOfThePreviousVersion) {
   const auto state = config::ParseState(kRevisionLog);
   ASSERT_TRUE(state);
   nlohmann::json file = state->revisions.front().document;
@@ -163,14 +163,14 @@
   EXPECT_EQ(MaxAttempts(rollback->state.Running()), 6);
 }
 
-TEST_F(StoredFiles, TheMaintenanceListOfTheVersionBeforeIsRead) {
+TEST_F(StoredFiles, ReadsTheMaintenanceListOfThePreviousVersion) {
   Write("lb-maintenance.json", kMaintenanceList);
   net::MaintenanceList maintenance(folder_);
   const std::set<std::string> expected = {"s \"1\"", "s-2", "\xc3\xa9"};
   EXPECT_EQ(maintenance.offline(), expected);
 }
 
-TEST_F(StoredFiles, TheMaintenanceListIsWrittenByteForByteAsTheVersionBeforeReadsIt) {
+TEST_F(StoredFiles, WritesTheMaintenanceListByteForByteAsThePreviousVersion) {
   net::MaintenanceList maintenance(folder_);
   for (const char* name : {"s-2", "s \"1\"", "\xc3\xa9"}) EXPECT_TRUE(maintenance.Set(name, true));
   EXPECT_EQ(Read("lb-maintenance.json"), kMaintenanceList);
--- a/tests/system_fault_test.cpp
+++ b/tests/system_fault_test.cpp
@@ -12,20 +12,21 @@
 using namespace rig;  // NOLINT
 using Clock = std::chrono::steady_clock;
 
-Process::Environment With(const std::string& faults, Process::Environment more = {}) {
-  more["LD_PRELOAD"] = LEMONCHUTE_FAULTS_LIBRARY;
-  more["LEMONCHUTE_FAULTS"] = faults;
-  return more;
+Process::Environment WithFaults(const std::string& faults, Process::Environment environment = {}) {
+  environment["LD_PRELOAD"] = LEMONCHUTE_FAULTS_LIBRARY;
+  environment["LEMONCHUTE_FAULTS"] = faults;
+  return environment;
 }
 
-json One(const Backend& backend) { return json::array({Entry("s1", backend.port())}); }
+json SingleEndpoint(const Backend& backend) { return json::array({Entry("s1", backend.port())}); }
 
 // A short write says nothing of the room that is left: the rest goes out without a further event from the
 // kernel.
-TEST(ShortTransfers, LongAnswersAndRequestsArriveWhole) {
+TEST(ShortTransfers, LongRequestsAndResponsesArriveComplete) {
   const std::string body(20000, 'x');
   Backend backend(Says(Ok(body)));
-  Site site(One(backend), {}, LEMONCHUTE_GATEWAY, 0, With("seed=3;send.short=0.9;recv.short=0.3"));
+  Site site(SingleEndpoint(backend), {}, LEMONCHUTE_GATEWAY, 0,
+            WithFaults("seed=3;send.short=0.9;recv.short=0.3"));
   auto client = site.gateway->Connect();
   Message answer = Ask(*client, Request("save-scenario", 1, 1400, "", std::string(3000, 'y')));
   EXPECT_EQ(answer.status(), 200);
@@ -36,10 +37,11 @@
 
 // An accept that fails on account of one connection says nothing of those behind it in the queue. The first
 // call finds it empty; the second is made when a client has come.
-TEST(Accepting, AnAbortedConnectionDoesNotHoldUpTheNextOne) {
+TEST(Accepting, AFailedAcceptDoesNotDelayTheNextConnection) {
   Backend backend(Says(Ok("x")));
   for (const char* error : {"ECONNABORTED", "EPROTO", "ENFILE", "EINTR", "EHOSTUNREACH"}) {
-    Site site(One(backend), {}, LEMONCHUTE_GATEWAY, 0, With(std::string("accept.") + error + "=#2"));
+    Site site(SingleEndpoint(backend), {}, LEMONCHUTE_GATEWAY, 0,
+              WithFaults(std::string("accept.") + error + "=#2"));
     auto client = site.gateway->Connect();
     client->Write(Request("quote"));
     EXPECT_EQ(client->Read().status(), 200) << error;
@@ -47,11 +49,11 @@
 }
 
 // A socket that can't be had for a moment at the start delays it and no more.
-TEST(Starting, AFailingSocketCallIsTriedAgain) {
+TEST(Startup, RetriesTransientSocketErrors) {
   Backend backend(Says(Ok("x")));
   for (const char* faults :
        {"socket.ENFILE=#1-6", "bind.EADDRINUSE=#1-2", "listen.EADDRINUSE=#1", "socket.ENOBUFS=#2"}) {
-    Site site(One(backend), {}, LEMONCHUTE_GATEWAY, 0, With(faults, kOps));
+    Site site(SingleEndpoint(backend), {}, LEMONCHUTE_GATEWAY, 0, WithFaults(faults, kOps));
     ASSERT_NE(site.gateway->port, 0) << faults;
     EXPECT_EQ(Ask(*site.gateway->Connect(), Request("quote")).status(), 200) << faults;
     EXPECT_EQ(Call(site.gateway->ops_port, "GET", "/control/ready").status(), 200) << faults;
@@ -59,18 +61,19 @@
 }
 
 // A signal that comes while the process starts, here as it reads its configuration, counts once it runs.
-TEST(Starting, ASignalDuringTheStartIsKeptUntilTheProcessRuns) {
+TEST(Startup, SighupDuringStartupIsHandledOnceRunning) {
   Backend backend(Says(Ok("x")));
-  Site site(One(backend), {}, LEMONCHUTE_GATEWAY, 0, With("open-read.raise-hup=#1", kOps));
+  Site site(SingleEndpoint(backend), {}, LEMONCHUTE_GATEWAY, 0, WithFaults("open-read.raise-hup=#1", kOps));
   ASSERT_NE(site.gateway->port, 0);
   AwaitFigure(site.gateway->ops_port, "config_applied", 1);
   EXPECT_EQ(Ask(*site.gateway->Connect(), Request("quote")).status(), 200);
 }
 
 // A configuration that can't be read for a moment, at the start or at SIGHUP, is read again.
-TEST(Starting, AConfigurationThatCannotBeReadForAMomentIsReadAgain) {
+TEST(Startup, RetriesTransientReadErrorsOfTheConfiguration) {
   Backend backend(Says(Ok("x")));
-  Site site(One(backend), {}, LEMONCHUTE_GATEWAY, 0, With("open-read.EIO=#1-2;open-read.EMFILE=#4-5", kOps));
+  Site site(SingleEndpoint(backend), {}, LEMONCHUTE_GATEWAY, 0,
+            WithFaults("open-read.EIO=#1-2;open-read.EMFILE=#4-5", kOps));
   ASSERT_NE(site.gateway->port, 0);
   site.gateway->Signal(SIGHUP);
   AwaitFigure(site.gateway->ops_port, "config_applied", 1);
@@ -79,12 +82,12 @@
 
 // A shortage of this machine's is no fault of the backends: a connect is tried again, and no backend is set
 // aside.
-TEST(Connecting, AShortageOfThisMachineIsNoFaultOfTheBackends) {
+TEST(Connecting, LocalResourceErrorsDoNotEjectBackends) {
   Backend one(Says(Ok("x"))), two(Says(Ok("x")));
   for (const char* error : {"EADDRNOTAVAIL", "ENETUNREACH", "EINTR"}) {
-    Site site(
-        json::array({Entry("s1", one.port()), Entry("s2", two.port())}), {}, LEMONCHUTE_GATEWAY, 0,
-        With(std::string("connect.") + error + "=#3-10", kOps));  // after the counter's and discovery's own
+    Site site(json::array({Entry("s1", one.port()), Entry("s2", two.port())}), {}, LEMONCHUTE_GATEWAY, 0,
+              WithFaults(std::string("connect.") + error + "=#3-10",
+                         kOps));  // after the counter's and discovery's own
     auto client = site.gateway->Connect();
     for (int i = 0; i < 5; ++i) EXPECT_EQ(Ask(*client, Fresh("save-scenario")).status(), 200) << error;
     EXPECT_EQ(Figure(site.gateway->ops_port, "pool_ejected"), 0) << error;
@@ -93,64 +96,69 @@
 
 // What an operator has taken out, or put, is still owed where the folder can't be read for a moment at a
 // start.
-TEST(Disk, WhatWasKeptOutlivesAReadThatFailsForAMoment) {
+TEST(Disk, OfflineBackendsSurviveTransientReadErrorsAtStartup) {
   Backend one(Says(Ok("x"))), two(Says(Ok("x")));
   Folder folder;
   json entries = json::array({Entry("s1", one.port()), Entry("s2", two.port())});
-  Process::Environment kept = kOps;
-  kept["TMPDIR"] = folder.path();
+  Process::Environment shared_folder = kOps;
+  shared_folder["TMPDIR"] = folder.path();
   {
-    Site site(entries, {}, LEMONCHUTE_GATEWAY, 0, kept);
+    Site site(entries, {}, LEMONCHUTE_GATEWAY, 0, shared_folder);
     EXPECT_EQ(Call(site.gateway->ops_port, "PUT", "/control/backends/s1/offline").status(), 200);
     site.gateway->Signal(SIGKILL);
     EXPECT_EQ(site.gateway->Exit(), -SIGKILL);
   }
   // The file of the configuration, the record of revisions, the list of what is offline.
   for (const char* faults : {"open-read.EIO=#3", "open-read.EMFILE=#3"}) {
-    Site site(entries, {}, LEMONCHUTE_GATEWAY, 0, With(faults, kept));
-    int before = one.requests.count();
+    Site site(entries, {}, LEMONCHUTE_GATEWAY, 0, WithFaults(faults, shared_folder));
+    int requests_before = one.requests.count();
     auto client = site.gateway->Connect();
     for (int i = 0; i < 10; ++i) EXPECT_EQ(Ask(*client, Fresh("quote")).status(), 200);
-    EXPECT_EQ(one.requests.count(), before) << faults;
+    EXPECT_EQ(one.requests.count(), requests_before) << faults;
     site.gateway->Signal(SIGKILL);
     EXPECT_EQ(site.gateway->Exit(), -SIGKILL);
   }
 }
 
 // Each reason holds an attempt back, and nothing else does.
-TEST(SendGuard, NamesWhyAnAttemptMayNotGoOut) {
+TEST(SendGuard, ReportsWhyAnAttemptMustNotBeSent) {
   using namespace lemonchute::net;  // NOLINT
   using lemonchute::policy::Idempotency;
-  SendFacts sound;
-  sound.now = Clock::now();
-  sound.deadline = sound.now + std::chrono::seconds(1);
-  auto with = [&](auto change) {
-    SendFacts facts = sound;
+  SendFacts sendable;
+  sendable.now = Clock::now();
+  sendable.deadline = sendable.now + std::chrono::seconds(1);
+  auto check_with = [&](auto change) {
+    SendFacts facts = sendable;
     change(facts);
     return CheckSend(facts);
   };
-  EXPECT_EQ(CheckSend(sound), SendVerdict::kSend);
-  EXPECT_EQ(with([](SendFacts& f) { f.answered = true; }), SendVerdict::kAnswered);
-  EXPECT_EQ(with([](SendFacts& f) { f.client_present = false; }), SendVerdict::kClientGone);
-  EXPECT_EQ(with([](SendFacts& f) { f.now = f.deadline; }), SendVerdict::kTimeOver);
-  EXPECT_EQ(with([](SendFacts& f) { f.body_buffered = false; }), SendVerdict::kBodyGone);
-  EXPECT_EQ(with([](SendFacts& f) { f.attempts_left = false; }), SendVerdict::kTooManyAttempts);
-  EXPECT_EQ(with([](SendFacts& f) { f.other_in_flight = true; }), SendVerdict::kOtherOut);
-  EXPECT_EQ(with([](SendFacts& f) { f.other_in_flight = f.hedging_allowed = true; }), SendVerdict::kSend);
+  EXPECT_EQ(CheckSend(sendable), SendVerdict::kSend);
+  EXPECT_EQ(check_with([](SendFacts& facts) { facts.answered = true; }), SendVerdict::kAnswered);
+  EXPECT_EQ(check_with([](SendFacts& facts) { facts.client_present = false; }), SendVerdict::kClientGone);
+  EXPECT_EQ(check_with([](SendFacts& facts) { facts.now = facts.deadline; }), SendVerdict::kTimeOver);
+  EXPECT_EQ(check_with([](SendFacts& facts) { facts.body_buffered = false; }), SendVerdict::kBodyGone);
+  EXPECT_EQ(check_with([](SendFacts& facts) { facts.attempts_left = false; }), SendVerdict::kTooManyAttempts);
+  EXPECT_EQ(check_with([](SendFacts& facts) { facts.other_in_flight = true; }), SendVerdict::kOtherOut);
+  EXPECT_EQ(check_with([](SendFacts& facts) { facts.other_in_flight = facts.hedging_allowed = true; }),
+            SendVerdict::kSend);
   for (Idempotency idempotency : {Idempotency::kWithinWindow, Idempotency::kNonIdempotent})
-    EXPECT_EQ(with([&](SendFacts& f) {
-                f.other_in_flight = f.hedging_allowed = true, f.idempotency = idempotency;
+    EXPECT_EQ(check_with([&](SendFacts& facts) {
+                facts.other_in_flight = facts.hedging_allowed = true, facts.idempotency = idempotency;
               }),
               SendVerdict::kOtherOut);
-  EXPECT_EQ(with([](SendFacts& f) { f.may_have_run = true, f.idempotency = Idempotency::kNonIdempotent; }),
+  EXPECT_EQ(check_with([](SendFacts& facts) {
+              facts.may_have_run = true, facts.idempotency = Idempotency::kNonIdempotent;
+            }),
             SendVerdict::kUnsafeRepeat);
-  EXPECT_EQ(with([](SendFacts& f) { f.may_have_run = true, f.idempotency = Idempotency::kWithinWindow; }),
+  EXPECT_EQ(check_with([](SendFacts& facts) {
+              facts.may_have_run = true, facts.idempotency = Idempotency::kWithinWindow;
+            }),
             SendVerdict::kSend);
 }
 
 // A start that is told late is as old as it is; one that can't be so old counts as just told, and keeps its
 // time.
-TEST(StartTimes, AreHeldAndNoOlderThanWhatCanHaveBeenKeptBack) {
+TEST(StartTimes, AreStableAndBoundedByTheDiscoveryDelay) {
   lemonchute::net::StartTimes times;
   times.BeginList(100, 1000, false);
   EXPECT_EQ(times.Convert(1, 0), 0);
@@ -170,22 +178,22 @@
 
 // A backend's start is told by the wall clock, which may be stepped, here or on all machines: what has just
 // been told of a running watch has just started, and is warm when that time is over.
-struct Step {
+struct ClockStep {
   const char* faults;
-  double told_ahead_s;  // by how much discovery's clock is ahead of the true one
+  double discovery_ahead_s;  // by how much discovery's clock is ahead of the true one
 };
 
-void BackendThatHasJustStartedIsColdForItsTimeAndNoLonger(const Step& step) {
-  SCOPED_TRACE(std::string(step.faults) + ", discovery ahead by " + std::to_string(step.told_ahead_s));
-  Backend warm(Says(Ok("x"))), fresh(Says(Ok("x")));
+void ExpectSlowStartForWarmAfterPeriod(const ClockStep& step) {
+  SCOPED_TRACE(std::string(step.faults) + ", discovery ahead by " + std::to_string(step.discovery_ahead_s));
+  Backend warm_backend(Says(Ok("x"))), cold_backend(Says(Ok("x")));
   json config = Config(0, 0);
   config["settings"]["invariants"]["warm-after-s"] = 2.0;
-  Site site(One(warm), config, LEMONCHUTE_GATEWAY, 0, With(step.faults));
+  Site site(SingleEndpoint(warm_backend), config, LEMONCHUTE_GATEWAY, 0, WithFaults(step.faults));
   std::this_thread::sleep_for(std::chrono::milliseconds(300));  // past the step
   double now_s = std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
-  json started = Entry("s2", fresh.port());
-  started["since_ms"] = (now_s + step.told_ahead_s) * 1000;
-  site.discovery.Set(json::array({started}));  // nothing else is left to send to
+  json entry = Entry("s2", cold_backend.port());
+  entry["since_ms"] = (now_s + step.discovery_ahead_s) * 1000;
+  site.discovery.Set(json::array({entry}));  // nothing else is left to send to
   ASSERT_TRUE(site.discovery.Told());
   auto client = site.gateway->Connect();
   auto served = [&] {
@@ -198,11 +206,11 @@
   EXPECT_GE(served(), 30);
 }
 
-TEST(WallClock, AStepOfItLeavesABackendColdForItsTimeAndNoLonger) {
-  for (const Step& step :
-       {Step{"clock.step=3600@0", 0}, Step{"clock.step=-3600@0", 0}, Step{"clock.step=-3600@0.2", -3600},
-        Step{"clock.step=3600@0.2", 3600}, Step{"clock.step=3600@0.2", 0}})
-    BackendThatHasJustStartedIsColdForItsTimeAndNoLonger(step);
+TEST(WallClock, StepsNeitherShortenNorExtendSlowStart) {
+  for (const ClockStep& step : {ClockStep{"clock.step=3600@0", 0}, ClockStep{"clock.step=-3600@0", 0},
+                                ClockStep{"clock.step=-3600@0.2", -3600},
+                                ClockStep{"clock.step=3600@0.2", 3600}, ClockStep{"clock.step=3600@0.2", 0}})
+    ExpectSlowStartForWarmAfterPeriod(step);
 }
 
 }  // namespace
