--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -1,5 +1,5 @@
-// Membership between processes of the program: starts, deaths, stops, cuts, upgrades and hostile datagrams,
-// seen through each one's own door.
+// Tests for membership between gateway processes: starts, crashes, stalls, partitions, upgrades and hostile
+// datagrams, observed through each process's admin endpoint.
 #include "peer_fleet.h"
 
 namespace rig {
@@ -7,7 +7,7 @@
 
 const std::vector<int> kAllMembers = {0, 1, 2, 3, 4};
 
-// A member that runs and says so under its own number, at the others too.
+// The incarnation of `member` in the view of `observer`.
 uint32_t Incarnation(const PeerFleet& fleet, int observer, int member) {
   return fleet.Members(observer).at("members").at(static_cast<size_t>(member)).at("incarnation");
 }
@@ -23,7 +23,7 @@
 
 TEST(Members, NothingIsBoundSentOrReportedWithoutTheConfigurationKey) {
   PeerFleet fleet(2, json());
-  // An address that is really free, so that a process that wanted it would have it.
+  // A free port, so that a process that tried to bind it would succeed.
   sockaddr_in at;
   close(Loopback(&at, 0));
   int probe = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
@@ -39,7 +39,7 @@
   EXPECT_EQ(Call(fleet.gateways[0]->ops_port, "GET", "/control/counters").body.find("members"),
             std::string::npos);
   EXPECT_EQ(fleet.net.Sent(), 0);
-  // Switched on at SIGHUP it speaks, switched off again it lets go.
+  // Enabled by SIGHUP it takes part; disabled again it releases the address.
   json enabled = fleet.ConfigOf(0);
   enabled["extensions"] = {{"membership", json::object()}};
   fleet.gateways[0]->Reconfigure(enabled);
@@ -48,7 +48,7 @@
   fleet.gateways[0]->Reconfigure(fleet.ConfigOf(0));
   EXPECT_SOON(IsPortFree(fleet.net.Listen(0)));
   EXPECT_EQ(fleet.Members(0), disabled_response);
-  // And on once more: it left the fleet, not service.
+  // Enabled once more it rejoins, since it left the fleet but not service.
   fleet.gateways[0]->Reconfigure(enabled);
   EXPECT_SOON(fleet.State(0, 0) == "alive");
 }
@@ -59,12 +59,12 @@
   ASSERT_SOON(fleet.Agree(kAllMembers));
   json view = fleet.Members(0);
   EXPECT_EQ(view.at("states").at("alive"), 5);
-  EXPECT_EQ(view.at("runs").size(), 1u);  // all run one program by one configuration
+  EXPECT_EQ(view.at("runs").size(), 1u);  // all run the same program and configuration
   const std::vector<int> others = {0, 1, 3, 4};
   fleet.Kill(2);
   EXPECT_SOON(fleet.All(others, 2, "dead") && fleet.Agree(others));
-  EXPECT_EQ(fleet.Members(0).at("states").at("alive"), 4);  // and nobody else
-  // Back without memory, with another configuration: above what was believed, and told apart.
+  EXPECT_EQ(fleet.Members(0).at("states").at("alive"), 4);  // no other member is affected
+  // Restarted with another configuration: its incarnation is higher, and the two configurations are listed.
   uint32_t incarnation_before = Incarnation(fleet, 0, 2);
   json changed_config = fleet.ConfigOf(2);
   changed_config["settings"]["prices"]["cross-zone"] = 0.03;
@@ -72,17 +72,17 @@
   EXPECT_SOON(fleet.All(kAllMembers, 2, "alive") && fleet.Agree(kAllMembers));
   EXPECT_GT(Incarnation(fleet, 0, 2), incarnation_before);
   EXPECT_EQ(fleet.Members(0).at("runs").size(), 2u);
-  // A stop is at most a suspicion that has not been answered; whoever goes on is there again.
+  // A stopped process is suspected, or declared dead, and returns once it continues.
   fleet.gateways[1]->Signal(SIGSTOP);
   EXPECT_SOON(fleet.State(0, 1) != "alive");
   fleet.gateways[1]->Signal(SIGCONT);
   EXPECT_SOON(fleet.All(kAllMembers, 1, "alive") && fleet.Agree(kAllMembers));
-  // A drain is a planned leave, and back in service is back.
+  // A drain is a planned leave, and a return to service rejoins the fleet.
   Call(fleet.gateways[3]->ops_port, "PUT", "/control/out-of-service");
   EXPECT_SOON(fleet.All(kAllMembers, 3, "left") && fleet.Agree(kAllMembers));
   Call(fleet.gateways[3]->ops_port, "PUT", "/control/in-service");
   EXPECT_SOON(fleet.All(kAllMembers, 3, "alive") && fleet.Agree(kAllMembers));
-  // SIGTERM too, and it is never taken for a death.
+  // SIGTERM is a planned leave too, and is never reported as a death.
   const std::vector<int> remaining = {0, 1, 2, 3};
   std::vector<long> deaths = fleet.Deaths(remaining);
   fleet.gateways[4]->Signal(SIGTERM);
@@ -101,15 +101,15 @@
   PeerFleet fleet(5);
   fleet.StartAll();
   ASSERT_SOON(fleet.Agree(kAllMembers));
-  // Two of five are cut off: they know that they may be the ones that are alone, and the three that they are
-  // not.
+  // Two of five are partitioned off: both detect that they are in the minority, and the other three that they
+  // are not.
   fleet.net.SetPasses([](int from, int to) { return (from < 2) == (to < 2); });
   EXPECT_SOON(fleet.Members(0).at("verdict") == "cut off" && fleet.Members(1).at("verdict") == "cut off");
   EXPECT_FALSE(fleet.Members(0).at("usable"));
   EXPECT_SOON(fleet.All({2, 3, 4}, 0, "dead") && fleet.Agree({2, 3, 4}));
   fleet.net.SetPasses([](int, int) { return true; });
   EXPECT_SOON(fleet.Agree(kAllMembers) && fleet.Members(0).at("states").at("alive") == 5);
-  // One way: 0 is heard by all and hears nobody. Whoever hears nothing is no use, and says so.
+  // A one-way partition: 0 is heard by all and hears nobody, so it reports that its view is not usable.
   fleet.net.SetPasses([](int, int to) { return to != 0; });
   EXPECT_SOON(fleet.Members(0).at("usable") == false);
   fleet.net.SetPasses([](int, int) { return true; });
@@ -122,19 +122,19 @@
   ASSERT_SOON(fleet.Agree({0, 1, 2}));
   std::vector<long> deaths = fleet.Deaths({0, 2});
   auto replacement = fleet.NewProcess(fleet.ConfigOf(1), 1);
-  EXPECT_FALSE(PeerFleet::MembersOf(*replacement).at("speaks"));  // one of the two
+  EXPECT_FALSE(PeerFleet::MembersOf(*replacement).at("speaks"));  // only one of the two processes takes part
   EXPECT_TRUE(fleet.Members(1).at("speaks"));
   fleet.gateways[1]->Signal(SIGTERM);
   EXPECT_EQ(fleet.gateways[1]->Exit(), 0);
   fleet.gateways[1] = std::move(replacement);
   EXPECT_SOON(fleet.Agree({0, 1, 2}));
-  // Killed beside the other process, likewise.
+  // The same if the old process is killed.
   replacement = fleet.NewProcess(fleet.ConfigOf(1), 1);
   fleet.Kill(1);
   fleet.gateways[1] = std::move(replacement);
   EXPECT_SOON(fleet.Members(1).at("speaks") == true);
   EXPECT_SOON(fleet.Agree({0, 1, 2}));
-  EXPECT_SOON(fleet.All({0, 2}, 1, "alive"));  // until it has refuted, a busy machine may have it suspected
+  EXPECT_SOON(fleet.All({0, 2}, 1, "alive"));  // a busy machine may suspect it until it has refuted
   EXPECT_EQ(fleet.Deaths({0, 2}), deaths);
 }
 
@@ -144,7 +144,7 @@
   ASSERT_SOON(fleet.Agree({0, 1, 2}));
   fleet.Start(3, fleet.ConfigOf(3, 4));
   fleet.gateways[0]->Reconfigure(fleet.ConfigOf(0, 4));
-  // Two know of it, and two have not been told yet; nobody dies of that.
+  // Two members have the longer list and two do not yet; that causes no deaths.
   EXPECT_SOON(fleet.State(0, 3) == "alive" && Incarnation(fleet, 0, 3) > 0);
   EXPECT_EQ(fleet.Members(1).at("members").size(), 3u);
   EXPECT_SOON(Figure(fleet.gateways[1]->ops_port, "members_dropped_stranger") > 0);
@@ -174,7 +174,7 @@
   };
   fleet.net.Inject(-1, 0, valid);
   EXPECT_SOON(dropped("stranger", 1));
-  fleet.net.Inject(1, 0, other_member);  // the address of 1 says that it is 2
+  fleet.net.Inject(1, 0, other_member);  // from the address of member 1, with the number 2
   EXPECT_SOON(dropped("misnumbered", 1));
   fleet.net.Inject(1, 0, "");
   fleet.net.Inject(1, 0, std::string(256, 'x').replace(0, 2, "LM"));
@@ -184,7 +184,8 @@
   fleet.net.Inject(1, 0, valid.substr(0, valid.size() - 1));
   EXPECT_SOON(dropped("length", 2) && dropped("format", 1) && dropped("kind", 1) && dropped("number", 1) &&
               dropped("section", 1));
-  // 10,000 in a burst: most are not even read as words, and what is answered stays within the pace.
+  // 10,000 in a burst: most are dropped before their updates are read, and the replies stay within the rate
+  // limit.
   long sent_before = fleet.net.Sent();
   for (int i = 0; i < 10000; ++i) fleet.net.Inject(1, 0, valid);
   EXPECT_SOON(dropped("flood", 100));
@@ -198,7 +199,7 @@
   PeerFleet fleet(4);
   fleet.StartAll();
   ASSERT_SOON(fleet.Agree({0, 1, 2, 3}));
-  // Gateway 0 starts anew and says that it is 2, as a file that was copied would have it.
+  // Gateway 0 restarts with the number 2, as with a configuration file that was copied.
   fleet.Kill(0);
   json copied = fleet.ConfigOf(2);
   copied["peer_listen"] = fleet.ConfigOf(0).at("peer_listen");
@@ -208,7 +209,7 @@
   EXPECT_SOON(Figure(fleet.gateways[0]->ops_port, "members_dropped_claimed") > 0);
   EXPECT_SOON(fleet.Members(0).at("verdict") == "cut off");
   EXPECT_SOON(fleet.Agree({1, 2, 3}) && fleet.All({1, 2, 3}, 2, "alive") && fleet.All({1, 2, 3}, 0, "dead"));
-  // What is there goes on under its incarnation, however long the other one claims.
+  // The real member keeps its incarnation, however long the other process claims its number.
   uint32_t incarnation_before = Incarnation(fleet, 1, 2);
   long refuted_before = Figure(fleet.gateways[2]->ops_port, "members_refuted");
   long heard_before = Figure(fleet.gateways[2]->ops_port, "members_heard");
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -1,5 +1,5 @@
-// Changing the configuration of running gateways: files and SIGHUP, the operators' calls, the record, and two
-// processes of one gateway.
+// Tests for configuration changes of running gateways: the file and SIGHUP, the admin API, the revision log,
+// and two processes of one gateway.
 #include <fcntl.h>
 
 #include <random>
@@ -27,7 +27,7 @@
   std::filesystem::rename(path + ".new", path);
 }
 
-// All that a folder holds, by name.
+// The contents of all files in a folder, by file name.
 std::map<std::string, std::string> ReadFolder(const std::string& folder) {
   std::map<std::string, std::string> all;
   for (const auto& entry : std::filesystem::directory_iterator(folder)) {
@@ -37,7 +37,7 @@
   return all;
 }
 
-// A keeper alone, with a holder that notes what it is given.
+// A ConfigurationManager without a gateway: a commit only stores the document in `running_config`.
 struct ManagerFixture {
   explicit ManagerFixture(const Folder& folder, const json& file = ValidConfig(),
                           RevisionLog::FailureInjector failure_injector = {})
@@ -152,7 +152,7 @@
   EXPECT_EQ(fixture.prepare_count, 0);
   EXPECT_EQ(fixture.Summary()["running"], 1);
   EXPECT_EQ(ReadFolder(folder.path()), before);
-  EXPECT_EQ(fixture.Summary()["turned_down"].size(), 7u) << "those that could be read";
+  EXPECT_EQ(fixture.Summary()["turned_down"].size(), 7u) << "updates that were parsed";
 }
 
 TEST(ConfigurationManager, CheckChangesNothing) {
@@ -166,13 +166,13 @@
       json::parse(
           R"([{"at": "/settings/limits/try-limit", "what": "changed", "takes": "live for new requests"}])"));
   EXPECT_EQ(fixture.MaxAttempts(), 6);
-  EXPECT_EQ(fixture.prepare_count, 1) << "as far as that";
+  EXPECT_EQ(fixture.prepare_count, 1) << "a check prepares the configuration";
   EXPECT_EQ(ReadFolder(folder.path()), before);
   fixture.fail_prepare = true;
   EXPECT_EQ(fixture.Call("POST", "/check", ValidConfig(5)).status, 422);
 }
 
-// Whatever step of a put fails, all is as it was, and the next one is as good as the first.
+// Whichever step of an update fails, the state and the files are unchanged, and the next update succeeds.
 TEST(ConfigurationManager, FailedUpdateLeavesStateAndFilesUnchanged) {
   for (auto step : {RevisionLog::Step::kOpen, RevisionLog::Step::kWrite, RevisionLog::Step::kSync,
                     RevisionLog::Step::kRename}) {
@@ -201,19 +201,20 @@
   Folder folder;
   ManagerFixture fixture(folder);
   const auto before = ReadFolder(folder.path());
-  fixture.fail_prepare = true;  // the gateway can't prepare it
+  fixture.fail_prepare = true;  // the preparation fails
   EXPECT_EQ(fixture.Call("PUT", "?base=1", ValidConfig(5)).status, 422);
   EXPECT_EQ(fixture.Call("PUT", "?base=1&confirm_s=1", ValidConfig(5)).status, 422);
   EXPECT_EQ(ReadFolder(folder.path()), before);
   EXPECT_EQ(fixture.MaxAttempts(), 6);
-  EXPECT_EQ(fixture.io.poll(), 0u) << "no timer either";
+  EXPECT_EQ(fixture.io.poll(), 0u) << "no timer was started";
   ReplaceFile(fixture.path, ValidConfig(5).dump());
   fixture.manager.OnReloadSignal();
   EXPECT_EQ(fixture.Metric("config_rejected"), 1);
   EXPECT_EQ(fixture.MaxAttempts(), 6);
 }
 
-// The platform's word is taken even where it can't be kept; it is kept once that is possible.
+// A file from the platform is applied even if the revision log can't be written; the write is retried until
+// it succeeds.
 TEST(ConfigurationManager, SighupIsAppliedOnAFullDisk) {
   Folder folder;
   bool injecting = false;
@@ -244,17 +245,18 @@
   fixture.manager.OnReloadSignal();
   EXPECT_EQ(fixture.MaxAttempts(), 4);
   EXPECT_FALSE(fixture.Summary().contains("trial"));
-  EXPECT_EQ(fixture.Call("PUT", "?base=2", ValidConfig(3)).status, 409) << "made against what runs no more";
-  fixture.io.poll();  // of the cancelled wait
+  EXPECT_EQ(fixture.Call("PUT", "?base=2", ValidConfig(3)).status, 409) << "its base revision no longer runs";
+  fixture.io.poll();  // runs the handler of the cancelled timer
   fixture.io.restart();
-  EXPECT_EQ(fixture.io.run_one_for(std::chrono::seconds(kLimitS)), 0u) << "the trial's timer is gone";
+  EXPECT_EQ(fixture.io.run_one_for(std::chrono::seconds(kLimitS)), 0u) << "the trial's timer is cancelled";
   fixture.manager.OnReloadSignal();
   fixture.manager.OnReloadSignal();
   EXPECT_EQ(fixture.Metric("config_applied"), 3);
-  EXPECT_EQ(fixture.Summary()["running"], 3) << "the same file is no new revision";
+  EXPECT_EQ(fixture.Summary()["running"], 3) << "an unchanged file creates no revision";
 }
 
-// While the way back can't be gone, what is there stays, and is tried once.
+// If the rollback of an expired trial fails, the running revision becomes permanent and the rollback is not
+// retried.
 TEST(ConfigurationManager, FailedRollbackEndsTheTrialAndKeepsTheRevision) {
   Folder folder;
   ManagerFixture fixture(folder);
@@ -274,7 +276,8 @@
     ReplaceFile(folder.path() + "/file", broken);
     ManagerFixture next(folder, nullptr);
     EXPECT_EQ(next.MaxAttempts(), 6);
-    EXPECT_EQ(next.running_config["known"], ValidConfig()["known"]) << "the list that it had";
+    EXPECT_EQ(next.running_config["known"], ValidConfig()["known"])
+        << "the initial endpoints of the last valid file";
     EXPECT_EQ(next.Metric("config_started_by_record"), 1);
     EXPECT_EQ(next.Summary()["file"], "broken");
     EXPECT_TRUE(next.Summary().contains("file_fault"));
@@ -291,18 +294,18 @@
     ReplaceFile(folder.path() + "/lb-config.json", record);
     EXPECT_THROW(ManagerFixture(folder, nullptr), lemonchute::policy::ProtocolError);
     ManagerFixture fixture(folder);
-    EXPECT_EQ(fixture.Summary()["running"], 1) << "a file alone is enough";
+    EXPECT_EQ(fixture.Summary()["running"], 1) << "a valid file is enough";
   }
 }
 
-// Two processes of one gateway: whichever is told, both end on the same revision, and the trial's limit is
-// kept by whichever is there.
+// Two processes of one gateway converge on the same revision whichever of them is updated, and a trial
+// expires in time whichever of them is still alive.
 TEST(ConfigurationManager, TwoProcessesConvergeOnTheSameRevision) {
   Folder folder;
   auto old = std::make_unique<ManagerFixture>(folder);
   EXPECT_EQ(old->Call("PUT", "?base=1&confirm_s=3600", ValidConfig(5)).status, 200);
   ManagerFixture next(folder, nullptr);
-  EXPECT_EQ(next.MaxAttempts(), 5) << "an operator's put outlives the start";
+  EXPECT_EQ(next.MaxAttempts(), 5) << "a new process keeps the operator's update";
   EXPECT_TRUE(next.Summary().contains("trial"));
   EXPECT_EQ(next.Call("PUT", "/confirm?revision=2").status, 200);
   old->manager.PollRevisionLog();
@@ -311,16 +314,16 @@
   next.manager.PollRevisionLog();
   EXPECT_EQ(next.MaxAttempts(), 4);
   EXPECT_EQ(next.Metric("config_followed"), 1);
-  // Both are told at once, without a look at the record in between.
+  // Both are updated before either polls the revision log.
   EXPECT_EQ(old->Call("PUT", "?base=3", ValidConfig(3)).status, 200);
-  EXPECT_EQ(next.Call("PUT", "?base=3", ValidConfig(2)).status, 409) << "the other one was faster";
+  EXPECT_EQ(next.Call("PUT", "?base=3", ValidConfig(2)).status, 409) << "the other process was updated first";
   EXPECT_EQ(next.MaxAttempts(), 3);
   ReplaceFile(next.path, ValidConfig(7).dump());
   next.manager.OnReloadSignal();
   old->manager.OnReloadSignal();
   EXPECT_EQ(old->Summary()["history"], next.Summary()["history"]);
   EXPECT_EQ(old->MaxAttempts(), 7);
-  // The one that set the limit goes; the other one returns in time.
+  // The process that started the trial exits; the other one rolls back in time.
   EXPECT_EQ(old->Call("PUT", BaseQuery(old->Summary(), "&confirm_s=0.05"), ValidConfig(8)).status, 200);
   next.manager.PollRevisionLog();
   old.reset();
@@ -338,7 +341,7 @@
   EXPECT_EQ(fixture.Call("PUT", "?base=1", ValidConfig(5)).status, 503);
   ReplaceFile(fixture.path, ValidConfig(4).dump());
   fixture.manager.OnReloadSignal();
-  EXPECT_EQ(fixture.MaxAttempts(), 6) << "waits for a moment";
+  EXPECT_EQ(fixture.MaxAttempts(), 6) << "the reload is retried later";
   fixture.RunUntil([&] { return fixture.MaxAttempts() == 4; });  // a stopped process is not waited for
   lock.reset();
   EXPECT_EQ(fixture.Call("PUT", BaseQuery(fixture.Summary()), ValidConfig(5)).status, 200);
@@ -351,10 +354,10 @@
   EXPECT_EQ(fixture.Call("PUT", "?base=1", ValidConfig(5)).status, 409);
   ReplaceFile(fixture.path, ValidConfig(4).dump());
   fixture.manager.OnReloadSignal();
-  EXPECT_EQ(fixture.MaxAttempts(), 4) << "the platform's signal still counts";
+  EXPECT_EQ(fixture.MaxAttempts(), 4) << "SIGHUP is still handled";
 }
 
-// A file as large as no file should be is turned down without being read.
+// A file beyond the size limit is rejected without being read.
 TEST(ConfigurationManager, RejectsAFileOfAHundredMegabytesAtOnce) {
   Folder folder;
   ManagerFixture fixture(folder);
@@ -368,7 +371,7 @@
   EXPECT_EQ(fixture.Metric("config_rejected"), 1);
 }
 
-// The same through the real program.
+// Helpers for tests that run the gateway program.
 json StartableConfig(int max_attempts = 6) {
   json config = ValidConfig(max_attempts);
   config["listen"] = "127.0.0.1:0";
@@ -414,7 +417,7 @@
     std::snprintf(size, sizeof(size), "%zx\r\n", part.size());
     chunks += size + part + "\r\n";
   }
-  std::vector<std::unique_ptr<Wire>> callers;  // beside callers that dribble their bodies
+  std::vector<std::unique_ptr<Wire>> callers;  // slow callers that never complete their bodies
   for (int i = 0; i < 40; ++i) {
     callers.push_back(Wire::To(admin_port));
     callers.back()->Write(put + "Content-Length: 100000\r\n\r\n{\"name\"");
@@ -425,11 +428,12 @@
   EXPECT_EQ(Figure(admin_port, "config_revision"), 2);
 }
 
-// Limits, zones and plans take hold at once, and a customer of a dropped plan goes on under another.
+// Changed limits, zones and plans apply at once, and a customer of a removed plan continues under another
+// one.
 TEST(Reload, LimitsZonesAndPlansApplyWithoutARestart) {
-  // Which one is quicker is learned as answers come, so that a busy machine might outweigh the zone. Of each
-  // further request's far ones one at least has not answered yet, and costs less than any near one whatever
-  // that has been seen to take.
+  // The gateway learns which backend is faster, and on a busy machine a measured latency might outweigh the
+  // preference for its own zone. At each of the requests below at least one far backend has not answered yet,
+  // and costs less than any near backend whatever latency has been measured.
   constexpr int kFarBackends = 12;
   Backend near(Says(Ok("near"))), far(Says(Ok("far")));
   json entries = json::array({Entry("s1", near.port())});
@@ -443,7 +447,7 @@
   EXPECT_EQ(Ask(*client, Request("quote")).status(), 200);
   json config = GetConfig(admin_port, "/running");
   config["settings"]["zones"] = {"b", "c"};
-  config["settings"]["zone"] = 1;  // now in the far one's
+  config["settings"]["zone"] = 1;  // the zone of the far backends
   config["settings"]["tiers-of-service"].erase(0);
   config["settings"]["tiers-of-service"][0]["name"] = "gold";
   config["settings"]["tiers-of-service"][0]["units-per-s"] = 100;
@@ -452,19 +456,19 @@
   int lists_before = site.discovery.relisted.count();
   Message response = PutConfig(admin_port, config);
   ASSERT_EQ(response.status(), 200) << response.body;
-  ASSERT_TRUE(site.discovery.relisted.Wait(lists_before + 1)) << "read anew, by the new names of zones";
-  EXPECT_EQ(Ask(*client, Request("quote")).status(), 400) << "business is gone";
+  ASSERT_TRUE(site.discovery.relisted.Wait(lists_before + 1)) << "parsed again with the new zone names";
+  EXPECT_EQ(Ask(*client, Request("quote")).status(), 400) << "plan business is removed";
   for (int i = 0; i < kFarBackends; ++i) {
-    std::string request = Request("quote");  // of the same customer
+    std::string request = Request("quote");  // the same customer
     response = Ask(*client, request.replace(request.find("business"), 8, "gold"));
     EXPECT_EQ(response.status(), 200);
-    EXPECT_EQ(response.body, "far") << "its own zone goes first: " << i;
+    EXPECT_EQ(response.body, "far") << "prefers its own zone: " << i;
   }
   EXPECT_EQ(Call(admin_port, "PUT", "/control/config/rollback").status(), 200);
   EXPECT_EQ(Ask(*client, Request("quote")).status(), 200);
 }
 
-// Where descriptors are short, connections to backends are; more of them are of use at once.
+// Descriptors limit the connections to backends. A raised limit is used at once.
 TEST(Reload, RaisedDescriptorLimitAppliesAtOnce) {
   Event held, go;
   Backend backend([&](const Message&, Wire&) { return held.Add(), go.Wait(), Ok("x"); });
@@ -490,7 +494,7 @@
   for (auto& client : clients) EXPECT_EQ(client->Read().status(), 200);
 }
 
-// A start beside a broken file goes by the last good one, says so, and is ready.
+// With a broken file, a gateway starts with the last good configuration, logs that and becomes ready.
 TEST(Reload, StartsWithTheLastGoodConfigurationIfTheFileIsBroken) {
   Folder folder;
   Process::Environment environment = kOps;
@@ -532,7 +536,7 @@
   EXPECT_EQ(WEXITSTATUS(std::system(missing.c_str())), 2);
 }
 
-// Signals at odd times: in drain, and while the process ends.
+// SIGHUP is handled during a drain and during shutdown.
 TEST(Reload, SighupIsAppliedWhileDrainingAndShuttingDown) {
   Event held, go;
   Backend backend([&](const Message& request, Wire&) {
@@ -584,8 +588,8 @@
   EXPECT_EQ(GetConfig(old->ops_port, "/running")["settings"]["limits"]["try-limit"], 6);
 }
 
-// Revisions put, confirmed, left to return, rolled back and replaced at random under load: each request gets
-// one answer, by the rules of one revision, and goes to a backend once.
+// Under load, revisions are put, confirmed, left to expire, rolled back and replaced by files at random. Each
+// request gets one response, by the rules of one revision, and is sent to a backend at most once.
 TEST(Reload, UnderLoadEachRequestGetsOneAnswerUnderOneRevision) {
   for (unsigned seed : {1u, 2u, 3u}) {
     std::mutex mutex;
@@ -611,7 +615,7 @@
       clients.emplace_back([&, client] {
         auto wire = site.gateway->Connect();
         for (int i = 0; !done; ++i) {
-          // quote is free in some revisions and single_shot in others; extra is there in some.
+          // Class quote is free in some revisions and single_shot in others; extra exists in some.
           std::string request = Request(i % 3 == 0 ? "extra" : "quote");
           if (i % 3 == 0) request.replace(0, 4, "GET");
           if (i % 7 == client) request.replace(0, 3, "POST");
@@ -628,7 +632,7 @@
     }
     auto put = [&](const json& config, const std::string& parameters) {
       int status = PutConfig(admin_port, config, parameters).status();
-      EXPECT_TRUE(status == 200 || status == 409) << status;  // 409: a trial has returned just before
+      EXPECT_TRUE(status == 200 || status == 409) << status;  // 409: a trial has just been rolled back
     };
     std::mt19937 random(seed);
     for (int i = 0; i < 60; ++i) {
@@ -665,14 +669,14 @@
     EXPECT_EQ(wrong_responses, 0) << "seed " << seed;
     EXPECT_GT(ok_responses, 100);
     EXPECT_GT(other_responses, 0);
-    EXPECT_EQ(static_cast<int>(attempts_by_id.size()), ok_responses) << "a backend made each answer";
+    EXPECT_EQ(static_cast<int>(attempts_by_id.size()), ok_responses) << "each response came from a backend";
     for (const auto& [id, attempts] : attempts_by_id) EXPECT_EQ(attempts, 1) << id;
     EXPECT_EQ(Figure(admin_port, "ok.quote") + std::max(0L, Figure(admin_port, "ok.extra")), ok_responses);
     EXPECT_EQ(Figure(admin_port, "active"), 0);
   }
 }
 
-// 2,000 revisions in a row, each with a class, a plan and a zone that were never there: nothing grows.
+// 2,000 revisions in a row, each with a new class, plan and zone, leak neither memory nor descriptors.
 TEST(Reload, TwoThousandRevisionsLeakNoMemoryOrDescriptors) {
   Backend backend(Says(Ok("x")));
   Folder folder;
@@ -705,8 +709,8 @@
   done = true;
   load.join();
   EXPECT_EQ(Figure(admin_port, "config_revision"), 2001);
-#ifndef __SANITIZE_ADDRESS__  // which keeps what was freed
-  EXPECT_LE(site.gateway->MostMemory(), memory_kb + 512) << "kB, since the first 500 of them";
+#ifndef __SANITIZE_ADDRESS__  // it does not return freed memory
+  EXPECT_LE(site.gateway->MostMemory(), memory_kb + 512) << "kB, after the first 500 revisions";
 #endif
   EXPECT_LE(site.gateway->Descriptors(), descriptors + 2);
   EXPECT_LE(Call(admin_port, "GET", "/control/counters").body.size(), 8192u);
--- a/tests/stored_files_test.cpp
+++ b/tests/stored_files_test.cpp
@@ -1,5 +1,5 @@
-// Files that outlive a process stay readable: each test holds the bytes as the version before the renaming of
-// the configuration's code wrote them.
+// Files that outlive a process stay compatible between versions. The expected bytes were written by the
+// version before the configuration code's identifiers were renamed.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -17,8 +17,8 @@
 namespace lemonchute {
 namespace {
 
-// Revision 1 is the file's, 2 an operator's, 3 rolls 2 back, and 4 is an operator's that awaits its
-// confirmation.
+// Revision 1 comes from the file and 2 from an operator, 3 rolls 2 back, and 4 comes from an operator and
+// awaits confirmation.
 constexpr const char* kRevisionLog =
     R"({"bytes":5042,"crc32":3859363089,"format":1,"kind":"gateway-configuration-record"})"
     "\n"
--- a/tests/system_fault_test.cpp
+++ b/tests/system_fault_test.cpp
@@ -1,5 +1,5 @@
-// A gateway whose system calls fail in documented ways, whose wall clock is stepped, or that is held up for a
-// moment.
+// Tests for gateways whose system calls fail in documented ways, whose wall clock is stepped, or that are
+// held up for a moment.
 #include <chrono>
 #include <memory>
 
@@ -20,8 +20,8 @@
 
 json SingleEndpoint(const Backend& backend) { return json::array({Entry("s1", backend.port())}); }
 
-// A short write says nothing of the room that is left: the rest goes out without a further event from the
-// kernel.
+// A short write doesn't mean that the socket's buffer is full: the rest must be written without waiting for
+// another event from the kernel.
 TEST(ShortTransfers, LongRequestsAndResponsesArriveComplete) {
   const std::string body(20000, 'x');
   Backend backend(Says(Ok(body)));
@@ -35,8 +35,8 @@
   EXPECT_EQ(backend.request(0).body, std::string(3000, 'y'));
 }
 
-// An accept that fails on account of one connection says nothing of those behind it in the queue. The first
-// call finds it empty; the second is made when a client has come.
+// An accept() that fails because of one connection must not delay those behind it in the queue. The first
+// call finds the queue empty; the second is made once a client has connected, and fails.
 TEST(Accepting, AFailedAcceptDoesNotDelayTheNextConnection) {
   Backend backend(Says(Ok("x")));
   for (const char* error : {"ECONNABORTED", "EPROTO", "ENFILE", "EINTR", "EHOSTUNREACH"}) {
@@ -48,7 +48,7 @@
   }
 }
 
-// A socket that can't be had for a moment at the start delays it and no more.
+// A transient failure to create, bind or listen on a socket at startup only delays the startup.
 TEST(Startup, RetriesTransientSocketErrors) {
   Backend backend(Says(Ok("x")));
   for (const char* faults :
@@ -60,7 +60,8 @@
   }
 }
 
-// A signal that comes while the process starts, here as it reads its configuration, counts once it runs.
+// A SIGHUP that arrives during startup, here while the configuration is read, is handled once the event loop
+// runs.
 TEST(Startup, SighupDuringStartupIsHandledOnceRunning) {
   Backend backend(Says(Ok("x")));
   Site site(SingleEndpoint(backend), {}, LEMONCHUTE_GATEWAY, 0, WithFaults("open-read.raise-hup=#1", kOps));
@@ -69,7 +70,7 @@
   EXPECT_EQ(Ask(*site.gateway->Connect(), Request("quote")).status(), 200);
 }
 
-// A configuration that can't be read for a moment, at the start or at SIGHUP, is read again.
+// A transient error while the configuration is read, at startup or at SIGHUP, is retried.
 TEST(Startup, RetriesTransientReadErrorsOfTheConfiguration) {
   Backend backend(Says(Ok("x")));
   Site site(SingleEndpoint(backend), {}, LEMONCHUTE_GATEWAY, 0,
@@ -80,22 +81,22 @@
   EXPECT_EQ(Figure(site.gateway->ops_port, "config_rejected"), 0);
 }
 
-// A shortage of this machine's is no fault of the backends: a connect is tried again, and no backend is set
-// aside.
+// A connect() that fails for lack of local resources is retried and not attributed to the backend: no backend
+// is ejected.
 TEST(Connecting, LocalResourceErrorsDoNotEjectBackends) {
   Backend one(Says(Ok("x"))), two(Says(Ok("x")));
   for (const char* error : {"EADDRNOTAVAIL", "ENETUNREACH", "EINTR"}) {
     Site site(json::array({Entry("s1", one.port()), Entry("s2", two.port())}), {}, LEMONCHUTE_GATEWAY, 0,
               WithFaults(std::string("connect.") + error + "=#3-10",
-                         kOps));  // after the counter's and discovery's own
+                         kOps));  // after the connects to the counter and discovery
     auto client = site.gateway->Connect();
     for (int i = 0; i < 5; ++i) EXPECT_EQ(Ask(*client, Fresh("save-scenario")).status(), 200) << error;
     EXPECT_EQ(Figure(site.gateway->ops_port, "pool_ejected"), 0) << error;
   }
 }
 
-// What an operator has taken out, or put, is still owed where the folder can't be read for a moment at a
-// start.
+// A backend that an operator has taken offline stays offline if the stored list can't be read for a moment at
+// startup.
 TEST(Disk, OfflineBackendsSurviveTransientReadErrorsAtStartup) {
   Backend one(Says(Ok("x"))), two(Says(Ok("x")));
   Folder folder;
@@ -108,7 +109,8 @@
     site.gateway->Signal(SIGKILL);
     EXPECT_EQ(site.gateway->Exit(), -SIGKILL);
   }
-  // The file of the configuration, the record of revisions, the list of what is offline.
+  // The third file that is read is the list of offline backends, after the configuration and the revision
+  // log.
   for (const char* faults : {"open-read.EIO=#3", "open-read.EMFILE=#3"}) {
     Site site(entries, {}, LEMONCHUTE_GATEWAY, 0, WithFaults(faults, shared_folder));
     int requests_before = one.requests.count();
@@ -120,7 +122,7 @@
   }
 }
 
-// Each reason holds an attempt back, and nothing else does.
+// Each reason alone prevents an attempt from being sent.
 TEST(SendGuard, ReportsWhyAnAttemptMustNotBeSent) {
   using namespace lemonchute::net;  // NOLINT
   using lemonchute::policy::Idempotency;
@@ -156,31 +158,32 @@
             SendVerdict::kSend);
 }
 
-// A start that is told late is as old as it is; one that can't be so old counts as just told, and keeps its
-// time.
+// A start that is reported late keeps its age. One that can't be that old counts as just started, and its
+// time does not change afterwards.
 TEST(StartTimes, AreStableAndBoundedByTheDiscoveryDelay) {
   lemonchute::net::StartTimes times;
   times.BeginList(100, 1000, false);
   EXPECT_EQ(times.Convert(1, 0), 0);
-  EXPECT_EQ(times.Convert(2, 990), 90);  // of the list that a process starts with
+  EXPECT_EQ(times.Convert(2, 990), 90);  // in the cached list
   times.BeginList(110, 1010, true);
   times.EndList();
   times.BeginList(112, 4612, true);  // the wall clock was stepped by an hour
   EXPECT_EQ(times.Convert(2, 990), 90);
-  EXPECT_EQ(times.Convert(3, 1011), 112);  // it seems an hour old
+  EXPECT_EQ(times.Convert(3, 1011), 112);  // seems an hour old
   EXPECT_EQ(times.Convert(4, 4605), 105);
   EXPECT_EQ(times.Convert(5, 9000), 112);  // not in the future
   times.EndList();
   times.BeginList(130, 4630, true);
   EXPECT_EQ(times.Convert(3, 1011), 112);
-  EXPECT_EQ(times.Convert(6, 4610), 110);  // discovery was away
+  EXPECT_EQ(times.Convert(6, 4610), 110);  // discovery was unreachable
 }
 
-// A backend's start is told by the wall clock, which may be stepped, here or on all machines: what has just
-// been told of a running watch has just started, and is warm when that time is over.
+// Discovery reports a backend's start by the wall clock, which may be stepped, on this machine or on all of
+// them. A start that a running watch has just reported is recent: the backend must be cold, and be warm once
+// the slow start's time is over.
 struct ClockStep {
   const char* faults;
-  double discovery_ahead_s;  // by how much discovery's clock is ahead of the true one
+  double discovery_ahead_s;  // lead of discovery's clock over the true time
 };
 
 void ExpectSlowStartForWarmAfterPeriod(const ClockStep& step) {
@@ -189,11 +192,11 @@
   json config = Config(0, 0);
   config["settings"]["invariants"]["warm-after-s"] = 2.0;
   Site site(SingleEndpoint(warm_backend), config, LEMONCHUTE_GATEWAY, 0, WithFaults(step.faults));
-  std::this_thread::sleep_for(std::chrono::milliseconds(300));  // past the step
+  std::this_thread::sleep_for(std::chrono::milliseconds(300));  // until the step has happened
   double now_s = std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
   json entry = Entry("s2", cold_backend.port());
   entry["since_ms"] = (now_s + step.discovery_ahead_s) * 1000;
-  site.discovery.Set(json::array({entry}));  // nothing else is left to send to
+  site.discovery.Set(json::array({entry}));  // the only backend in the list
   ASSERT_TRUE(site.discovery.Told());
   auto client = site.gateway->Connect();
   auto served = [&] {
