--- a/src/net/admin_server.cpp
+++ b/src/net/admin_server.cpp
@@ -50,12 +50,12 @@
 
   void Read() {
     socket_.async_read_some(buffer_.prepare(kReadChunk),
-                            [self = shared_from_this(), this](error_code error, size_t n) {
+                            [self = shared_from_this(), this](error_code error, size_t size) {
                               if (closed_) return;
                               if (error) return Close();
-                              buffer_.commit(n);
+                              buffer_.commit(size);
                               if (responded_) {
-                                trailing_bytes_ += n;
+                                trailing_bytes_ += size;
                                 buffer_.clear();
                                 if (trailing_bytes_ > kMaxTrailingBytes) return Close();
                               } else {
@@ -77,14 +77,14 @@
       return Respond({400, "not a call\n"});
     if (parser_->is_done()) {
       const auto& request = parser_->get();
-      bool framed = request.count(http::field::content_length) > 0 || request.chunked();
+      bool declares_body = request.count(http::field::content_length) > 0 || request.chunked();
       return Respond(server_->handler_({std::string(View(request.method_string())),
-                                        std::string(View(request.target())), request.body(), framed}));
+                                        std::string(View(request.target())), request.body(), declares_body}));
     }
     if (parser_->is_header_done() && !continue_sent_ &&
         boost::beast::iequals(parser_->get()[http::field::expect], "100-continue")) {
       continue_sent_ = true;
-      SendAvailable(socket_, "HTTP/1.1 100 Continue\r\n\r\n", error);  // a failure is seen by the next read
+      SendAvailable(socket_, "HTTP/1.1 100 Continue\r\n\r\n", error);  // the next read detects a failure
     }
   }
 
@@ -126,7 +126,7 @@
 
 void AdminServer::Accept() {
   listener_.Accept([this](tcp::socket socket) {
-    // A complete request gets its response at once, so the longest open connection is an idle or slow one.
+    // A complete request gets its response at once, so the oldest connection is an idle or slow one.
     if (connections_.size() >= kMaxConnections) std::shared_ptr<Connection>(connections_.front())->Close();
     connections_.push_back(std::make_shared<Connection>(this, std::move(socket)));
     std::shared_ptr<Connection>(connections_.back())->Start();
--- a/src/net/members.cpp
+++ b/src/net/members.cpp
@@ -18,14 +18,14 @@
 using membership::State;
 using nlohmann::json;
 
-// A fraction of a probe's period, so that no member misses this one while the peer process releases the
+// A fraction of a probe's period, so that no member notices a gap while the peer process releases the
 // address.
 constexpr double kBindRetryPeriodS = 0.1;
-// Read in one turn of the event loop; at the rate limit these arrive in one second.
+// Datagrams read in one turn of the event loop; at the rate limit as many arrive in one second.
 constexpr int kMaxDatagramsPerTurn = 64;
 constexpr double kLogLinesPerS = 10, kMaxLogBurst = 30;  // of changes
 constexpr double kViewLogPeriodS = 0.25;
-constexpr size_t kMaxPageMembers = 1000;  // members in a response
+constexpr size_t kMaxPageMembers = 1000;  // members in one response
 
 Micros Now() {
   return std::chrono::duration_cast<std::chrono::microseconds>(
@@ -34,8 +34,8 @@
 }
 
 const char* StateName(State state) {
-  constexpr const char* kWords[] = {"alive", "suspect", "dead", "left"};
-  return kWords[static_cast<size_t>(state)];
+  constexpr const char* kNames[] = {"alive", "suspect", "dead", "left"};
+  return kNames[static_cast<size_t>(state)];
 }
 
 std::string Hex(uint64_t value, int digits) {
@@ -50,23 +50,23 @@
   static const uint32_t id = [] {
     std::ifstream file("/proc/self/exe", std::ios::binary);
     boost::crc_32_type sum;
-    std::array<char, 65536> part;
-    while (file.read(part.data(), part.size()), file.gcount() > 0)
-      sum.process_bytes(part.data(), static_cast<size_t>(file.gcount()));
+    std::array<char, 65536> chunk;
+    while (file.read(chunk.data(), chunk.size()), file.gcount() > 0)
+      sum.process_bytes(chunk.data(), static_cast<size_t>(file.gcount()));
     return sum.checksum();
   }();
   return id;
 }
 
-uint64_t AddressKey(const asio::ip::udp::endpoint& at) {
-  return (static_cast<uint64_t>(at.address().to_v4().to_uint()) << 16) | at.port();
+uint64_t AddressKey(const asio::ip::udp::endpoint& endpoint) {
+  return (static_cast<uint64_t>(endpoint.address().to_v4().to_uint()) << 16) | endpoint.port();
 }
 
 double WholeMillisecondsAsSeconds(Micros micros) { return static_cast<double>(micros / 1000) / 1000; }
 
-// Programs and configurations of the present members, and how many run each; more than one entry means that
-// the fleet disagrees.
-json ListRuns(const membership::View& view) {
+// Lists the programs and configurations of the members that are alive or suspect, and how many run each. More
+// than one entry means that the fleet is not uniform.
+json CountRuns(const membership::View& view) {
   std::map<std::pair<uint32_t, uint32_t>, size_t> runs;  // by program and configuration
   for (size_t number = 0; number < view.size(); ++number) {
     const membership::Entry& entry = view.At(number);
@@ -86,31 +86,32 @@
 Members::Members(asio::io_context& io)
     : socket_(io), tick_timer_(io), bind_retry_timer_(io), view_log_timer_(io), log_budget_(kMaxLogBurst) {}
 
-void Members::Follow(const Config& config) noexcept {
+void Members::ApplyConfig(const Config& config) noexcept {
   const std::optional<PeerConfig>& next = config.membership;
   if (handed_over_) return;
   if (!next) {
-    if (membership_) AnnounceLeave();  // leaves the fleet, not the service: switched on again it returns
-    StopSpeaking();
+    if (membership_) AnnounceLeave();  // `left_fleet_` stays unset, so that it rejoins when switched on again
+    StopMembership();
     config_.reset();
     return;
   }
   bool restart = !config_ || config_->self != next->self || config_->listen != next->listen ||
-                 config_->in_per_s != next->in_per_s || config_->share != next->share;
-  if (restart) StopSpeaking();
+                 config_->max_datagrams_per_s != next->max_datagrams_per_s ||
+                 config_->membership_share != next->membership_share;
+  if (restart) StopMembership();
   config_ = next;
-  ProgramId();  // computed here, since there is no time for it while an address is handed over
+  ProgramId();  // computed in advance, since a handover of the address leaves no time for it
   members_by_address_.clear();
   for (size_t i = 0; i < config_->peers.size(); ++i)
     members_by_address_[AddressKey(config_->peers[i])] = static_cast<uint16_t>(i);
   if (restart) return Bind();
   if (!membership_) return;
   membership_->Resize(Now(), config_->peers.size());
-  membership_->SetVersion(Now(), {ProgramId(), config_->config});
+  membership_->SetVersion(Now(), {ProgramId(), config_->fleet_config_id});
   LogView();
 }
 
-void Members::StopSpeaking() {
+void Members::StopMembership() {
   membership_.reset();
   error_code ignored;
   socket_.close(ignored);
@@ -122,13 +123,13 @@
   socket_.open(udp::v4(), error);
   if (!error) socket_.non_blocking(true, error);
   if (!error) socket_.bind(config_->listen, error);
-  if (!error) return StartSpeaking();
+  if (!error) return StartMembership();
   error_code ignored;
   socket_.close(ignored);
   if (!bind_failure_logged_) {
     bind_failure_logged_ = true;
     std::fprintf(
-        stderr, "members: %s can't be had, another process speaks there: %s\n",
+        stderr, "members: cannot bind %s, retrying until the other process releases it: %s\n",
         (config_->listen.address().to_string() + ":" + std::to_string(config_->listen.port())).c_str(),
         error.message().c_str());
   }
@@ -138,14 +139,15 @@
   });
 }
 
-void Members::StartSpeaking() {
+void Members::StartMembership() {
   bind_failure_logged_ = false;
   membership::Settings settings;
   settings.self = config_->self, settings.member_count = config_->peers.size();
-  // A seed of its own for each start, so that members that start at once probe in different orders.
+  // A new seed for each start, so that members that start at the same time probe in different orders.
   settings.seed = static_cast<uint64_t>(Now()) * 0x9e3779b97f4a7c15ULL + static_cast<uint64_t>(getpid());
-  settings.version = {ProgramId(), config_->config};
-  settings.receive_limit_per_s = config_->in_per_s, settings.rate_share = config_->share;
+  settings.version = {ProgramId(), config_->fleet_config_id};
+  settings.receive_limit_per_s = config_->max_datagrams_per_s,
+  settings.rate_share = config_->membership_share;
   membership_.emplace(settings, Now());
   error_code ignored;
   udp::endpoint local = socket_.local_endpoint(ignored);
@@ -164,7 +166,7 @@
       error_code failed;
       size_t bytes = socket_.receive_from(asio::buffer(datagram_), sender, 0, failed);
       if (failed == asio::error::would_block) break;
-      if (failed) {  // of an earlier send, such as to a closed port
+      if (failed) {  // error of an earlier send, such as to a closed port
         ++receive_failures_;
         continue;
       }
@@ -177,8 +179,9 @@
   });
 }
 
-int Members::MemberAt(const udp::endpoint& at) const {
-  auto found = at.address().is_v4() ? members_by_address_.find(AddressKey(at)) : members_by_address_.end();
+int Members::MemberAt(const udp::endpoint& endpoint) const {
+  auto found =
+      endpoint.address().is_v4() ? members_by_address_.find(AddressKey(endpoint)) : members_by_address_.end();
   return found == members_by_address_.end() ? -1 : found->second;
 }
 
@@ -211,7 +214,7 @@
   LogView();
 }
 
-// One line per change, at a limited rate. The next line is preceded by the number of those left out.
+// Logs one line per change, at a limited rate. After a gap, the number of changes left out is logged first.
 void Members::LogChange(const membership::Change& change) {
   Micros now = Now();
   log_budget_ =
@@ -223,14 +226,14 @@
   }
   log_budget_ -= 1;
   if (unlogged_changes_ > 0)
-    std::fprintf(stderr, "members: %llu more changes\n",
+    std::fprintf(stderr, "members: %llu further changes were not logged\n",
                  static_cast<unsigned long long>(std::exchange(unlogged_changes_, 0)));
   std::fprintf(stderr, "members: %d is %s, was %s: by %d, incarnation %u\n", change.member,
                StateName(change.current), StateName(change.previous), change.reporter, change.incarnation);
 }
 
-// The digest of the view, in the form of docs/LAB.md. Intermediate digests may be left out, the last one is
-// always logged.
+// Logs the digest of the view in the format of docs/LAB.md. Intermediate digests may be skipped, the last one
+// is always logged.
 void Members::LogView() {
   if (!membership_ || logged_view_ == membership_->view().digest()) return;
   if (view_log_timer_.expiry() > asio::steady_timer::clock_type::now())
@@ -252,10 +255,10 @@
   }
   if (to_peer_process) {
     handed_over_ = true;
-    std::fprintf(stderr, "members: the other process speaks from now on\n");
+    std::fprintf(stderr, "members: address handed over to the other process\n");
     std::fprintf(stderr, "fleet at_us=%lld pid=%d what=view subject=none\n", static_cast<long long>(Now()),
                  getpid());
-    return StopSpeaking();
+    return StopMembership();
   }
   AnnounceLeave();
 }
@@ -309,7 +312,7 @@
          counts.malformed[i]);
 }
 
-std::optional<AdminResponse> Members::OnCall(const AdminRequest& call) const {
+std::optional<AdminResponse> Members::HandleAdminCall(const AdminRequest& call) const {
   constexpr std::string_view kPath = "/control/members";
   std::string_view target = call.path, path = target.substr(0, target.find('?'));
   if (path != kPath) return std::nullopt;
@@ -321,10 +324,10 @@
     if (text && !Number(*text, value))
       return AdminResponse{400, std::string(name) + " must be a whole number\n"};
   }
-  return AdminResponse{200, List(from, std::min(most, kMaxPageMembers)), "application/json"};
+  return AdminResponse{200, RenderPage(from, std::min(most, kMaxPageMembers)), "application/json"};
 }
 
-std::string Members::List(size_t from, size_t most) const {
+std::string Members::RenderPage(size_t from, size_t max_members) const {
   json out = {{"on", config_.has_value()}, {"speaks", membership_.has_value()}};
   if (!membership_) return out.dump(1) + "\n";
   Micros now = Now();
@@ -339,9 +342,9 @@
   out["digest"] = Hex(view.digest(), 16);
   for (State state : {State::kAlive, State::kSuspect, State::kDead, State::kLeft})
     out["states"][StateName(state)] = view.Count(state);
-  out["runs"] = ListRuns(view);
+  out["runs"] = CountRuns(view);
   out["members"] = json::array();
-  for (size_t number = from; number < view.size() && out["members"].size() < most; ++number)
+  for (size_t number = from; number < view.size() && out["members"].size() < max_members; ++number)
     out["members"].push_back(MemberToJson(number, now));
   if (size_t next = from + out["members"].size(); next < view.size()) out["next"] = next;
   return out.dump(1) + "\n";
--- a/src/net/start_times.h
+++ b/src/net/start_times.h
@@ -1,5 +1,5 @@
-// The start times of backends by the monotonic clock. Discovery names them by the wall clock, which may be
-// stepped; slow start takes a span of real time.
+// Converts the start times of backends to the monotonic clock. Discovery reports them by the wall clock,
+// which may be stepped, whereas slow start lasts a span of elapsed time.
 #ifndef LEMONCHUTE_NET_START_TIMES_H_
 #define LEMONCHUTE_NET_START_TIMES_H_
 
@@ -13,15 +13,15 @@
 class StartTimes {
  public:
   /// @param now_s, wall_s the monotonic and the wall clock as the list is processed, in seconds.
-  /// @param watched whether discovery was heard before, so that what is new in the list is recent.
-  void BeginList(double now_s, double wall_s, bool watched);
+  /// @param from_discovery whether the list comes from discovery, not from the cache. After an earlier list
+  ///     from discovery, a start that is new in it is recent.
+  void BeginList(double now_s, double wall_s, bool from_discovery);
   /// @param wall_start_s the start by discovery's wall clock, in seconds since the epoch; 0: long ago.
-  /// @return the start by the monotonic clock, in seconds; 0: long ago. The same start has the same result
-  /// for
-  ///     as long as discovery names it.
+  /// @return the start by the monotonic clock, in seconds; 0: long ago. The result stays the same as long as
+  ///     discovery reports the same start.
   double Convert(uint32_t backend, double wall_start_s);
-  /// The list came from discovery itself, with changes or with none.
-  void EndList() { last_heard_s_ = now_s_; }
+  /// Ends a list that came from discovery, with changes or without.
+  void EndList() { last_list_from_discovery_s_ = now_s_; }
 
  private:
   struct KnownStart {
@@ -32,8 +32,8 @@
   double AgeS(double wall_start_s) const;
 
   double now_s_ = 0, wall_s_ = 0;
-  bool watched_ = false;
-  std::optional<double> last_heard_s_;
+  bool from_discovery_ = false;
+  std::optional<double> last_list_from_discovery_s_;
   std::unordered_map<uint32_t, KnownStart> known_;  // by backend
 };
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -16,7 +16,7 @@
 #include "config/revisions.h"
 
 namespace lemonchute::config {
-using net::Config, net::Merged, net::MergeSettings, net::ParseConfig;
+using net::Config, net::MergedSettings, net::MergeSettings, net::ParseConfig;
 
 namespace {
 
@@ -665,25 +665,26 @@
   updated["settings"]["zones"] = {"c", "b"};
   updated["settings"]["zone"] = 1;
   updated["limits"]["sockets"] = 512;
-  Merged with_references = MergeSettings(running, ParseConfig(updated), FirstIndices(2));
+  MergedSettings with_references = MergeSettings(running, ParseConfig(updated), FirstIndices(2));
   using Names = std::vector<std::string>;
-  EXPECT_EQ(with_references.config.site.classes, (Names{"", "save", "note"}));
-  EXPECT_EQ(with_references.config.site.plans, (Names{"", "business", "gold"}));
-  EXPECT_EQ(with_references.config.site.zones, (Names{"", "b", "c"}));
+  EXPECT_EQ(with_references.config.socket_settings.classes, (Names{"", "save", "note"}));
+  EXPECT_EQ(with_references.config.socket_settings.plans, (Names{"", "business", "gold"}));
+  EXPECT_EQ(with_references.config.socket_settings.zones, (Names{"", "b", "c"}));
   EXPECT_EQ(with_references.config.settings.zone, 1);
   EXPECT_EQ(with_references.config.settings.classes[0].priority_weight, 0);
   EXPECT_TRUE(with_references.config.settings.plans[0].removed);
-  EXPECT_EQ(with_references.renewed.classes, std::unordered_set<int>{2});
-  EXPECT_EQ(with_references.config.sockets, 512);
-  Merged without_references = MergeSettings(running, ParseConfig(updated), {});
-  EXPECT_EQ(without_references.config.site.classes, (Names{"note", "save"}));
-  EXPECT_EQ(without_references.renewed.plans, std::unordered_set<int>{0});
-  Merged repeated = MergeSettings(with_references.config, ParseConfig(updated), {});
-  EXPECT_EQ(repeated.config.site.classes, (Names{"", "save", "note"}))
+  EXPECT_EQ(with_references.newly_assigned.classes, std::unordered_set<int>{2});
+  EXPECT_EQ(with_references.config.max_descriptors, 512);
+  MergedSettings without_references = MergeSettings(running, ParseConfig(updated), {});
+  EXPECT_EQ(without_references.config.socket_settings.classes, (Names{"note", "save"}));
+  EXPECT_EQ(without_references.newly_assigned.plans, std::unordered_set<int>{0});
+  MergedSettings repeated = MergeSettings(with_references.config, ParseConfig(updated), {});
+  EXPECT_EQ(repeated.config.socket_settings.classes, (Names{"", "save", "note"}))
       << "unchanged entries keep their indices";
-  EXPECT_TRUE(repeated.renewed.classes.empty());
-  Merged restored = MergeSettings(repeated.config, ParseConfig(ValidDocument()), {});
-  EXPECT_EQ(restored.config.site.classes, (Names{"quote", "save"})) << "an unused index is used again";
+  EXPECT_TRUE(repeated.newly_assigned.classes.empty());
+  MergedSettings restored = MergeSettings(repeated.config, ParseConfig(ValidDocument()), {});
+  EXPECT_EQ(restored.config.socket_settings.classes, (Names{"quote", "save"}))
+      << "an unused index is used again";
 }
 
 TEST(Merge, IndicesDoNotGrowWithReloads) {
@@ -702,10 +703,10 @@
         in_use.classes.insert(index), in_use.plans.insert(index), in_use.zones.insert(index);
     }
     running = MergeSettings(running, ParseConfig(updated), in_use).config;
-    EXPECT_LE(running.site.classes.size(), 8u);
-    EXPECT_LE(running.site.plans.size(), 8u);
-    EXPECT_LE(running.site.zones.size(), 8u);
-    ASSERT_EQ(running.site.classes.size(), running.settings.classes.size());
+    EXPECT_LE(running.socket_settings.classes.size(), 8u);
+    EXPECT_LE(running.socket_settings.plans.size(), 8u);
+    EXPECT_LE(running.socket_settings.zones.size(), 8u);
+    ASSERT_EQ(running.socket_settings.classes.size(), running.settings.classes.size());
   }
 }
 
--- a/tests/stored_files_test.cpp
+++ b/tests/stored_files_test.cpp
@@ -1,5 +1,5 @@
-// Files that outlive a process stay readable: each test holds the bytes as the version before the renaming of
-// the configuration's code wrote them.
+// Files that outlive a process stay compatible between versions. The expected bytes were written by the
+// version before the configuration code's identifiers were renamed.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -17,8 +17,8 @@
 namespace lemonchute {
 namespace {
 
-// Revision 1 is the file's, 2 an operator's, 3 rolls 2 back, and 4 is an operator's that awaits its
-// confirmation.
+// Revision 1 comes from the file and 2 from an operator, 3 rolls 2 back, and 4 comes from an operator and
+// awaits confirmation.
 constexpr const char* kRevisionLog =
     R"({"bytes":5042,"crc32":3859363089,"format":1,"kind":"gateway-configuration-record"})"
     "\n"
@@ -133,7 +133,7 @@
   EXPECT_EQ(state.initial_endpoints.at("index"), 41);
 }
 
-TEST_F(StoredFiles, TheRevisionLogOfTheVersionBeforeIsRead) {
+TEST_F(StoredFiles, ReadsTheRevisionLogOfThePreviousVersion) {
   Write("lb-config.json", kRevisionLog);
   net::RevisionLog log(folder_);
   const auto state = log.Read();
@@ -141,7 +141,7 @@
   ExpectStoredRevisions(*state);
 }
 
-TEST_F(StoredFiles, TheRevisionLogIsWrittenByteForByteAsTheVersionBeforeReadsIt) {
+TEST_F(StoredFiles, WritesTheRevisionLogByteForByteAsThePreviousVersion) {
   const auto state = config::ParseState(kRevisionLog);
   ASSERT_TRUE(state);
   net::RevisionLog log(folder_);
@@ -149,7 +149,7 @@
   EXPECT_EQ(Read("lb-config.json"), kRevisionLog);
 }
 
-TEST_F(StoredFiles, AStartGoesOnWithTheRevisionLogOfTheVersionBefore) {
+TEST_F(StoredFiles, ResumesFromTheRevisionLogOfThePreviousVersion) {
   const auto state = config::ParseState(kRevisionLog);
   ASSERT_TRUE(state);
   nlohmann::json file = state->revisions.front().document;
@@ -163,15 +163,15 @@
   EXPECT_EQ(MaxAttempts(rollback->state.Running()), 6);
 }
 
-TEST_F(StoredFiles, TheMaintenanceListOfTheVersionBeforeIsRead) {
+TEST_F(StoredFiles, ReadsTheMaintenanceListOfThePreviousVersion) {
   Write("lb-maintenance.json", kMaintenanceList);
-  net::Maintenance maintenance(folder_);
+  net::MaintenanceList maintenance(folder_);
   const std::set<std::string> expected = {"s \"1\"", "s-2", "\xc3\xa9"};
   EXPECT_EQ(maintenance.offline(), expected);
 }
 
-TEST_F(StoredFiles, TheMaintenanceListIsWrittenByteForByteAsTheVersionBeforeReadsIt) {
-  net::Maintenance maintenance(folder_);
+TEST_F(StoredFiles, WritesTheMaintenanceListByteForByteAsThePreviousVersion) {
+  net::MaintenanceList maintenance(folder_);
   for (const char* name : {"s-2", "s \"1\"", "\xc3\xa9"}) EXPECT_TRUE(maintenance.Set(name, true));
   EXPECT_EQ(Read("lb-maintenance.json"), kMaintenanceList);
 }
