--- a/lab/tests/cuts.cmake
+++ b/lab/tests/cuts.cmake
@@ -44,28 +44,28 @@
 lab_cut(copies net/request_lifecycle.cpp "  request.attempts.back().pool_attempt = pool_.Send("
         "  for (int i = 0; i < 3; ++i) pool_.Send(backend, AttemptMessage(message), {patience_s, 0}, [](AttemptEnd) {}, {});
   request.attempts.back().pool_attempt = pool_.Send(")
-lab_cut(late net/request_lifecycle.cpp "  Respond(action.request_id, std::move(answer));"
+lab_cut(late net/request_lifecycle.cpp "  Respond(action.request_id, std::move(response));"
         "  auto late = std::make_shared<asio::steady_timer>(io_, std::chrono::seconds(9));
   in_flight_.at(action.request_id).deadline += std::chrono::seconds(9);
-  late->async_wait([this, late, id = action.request_id, answer](error_code) { Respond(id, answer); });")
-lab_cut(tardy net/request_lifecycle.cpp "  Respond(action.request_id, std::move(answer));"
+  late->async_wait([this, late, id = action.request_id, response](error_code) { Respond(id, response); });")
+lab_cut(tardy net/request_lifecycle.cpp "  Respond(action.request_id, std::move(response));"
         "  InFlightRequest& refused = in_flight_.at(action.request_id);
   auto late = std::make_shared<asio::steady_timer>(io_, refused.client_deadline + std::chrono::milliseconds(100));
   refused.deadline += std::chrono::seconds(9);
-  late->async_wait([this, late, id = action.request_id, answer](error_code) { Respond(id, answer); });")
-lab_cut(body net/request_lifecycle.cpp "  server_.Reply(request.connection, std::move(answer));"
-        "  if (answer.status == 200 && id % 8 == 0) answer.body = \"{}\";
-  server_.Reply(request.connection, std::move(answer));")
-lab_cut(crash net/request_lifecycle.cpp "void RequestLifecycle::Respond(uint32_t id, Answer answer) {"
-        "void RequestLifecycle::Respond(uint32_t id, Answer answer) {
+  late->async_wait([this, late, id = action.request_id, response](error_code) { Respond(id, response); });")
+lab_cut(body net/request_lifecycle.cpp "  server_.Reply(request.connection, std::move(response));"
+        "  if (response.status == 200 && id % 8 == 0) response.body = \"{}\";
+  server_.Reply(request.connection, std::move(response));")
+lab_cut(crash net/request_lifecycle.cpp "void RequestLifecycle::Respond(uint32_t id, ClientResponse response) {"
+        "void RequestLifecycle::Respond(uint32_t id, ClientResponse response) {
   if (id == 60) std::abort();")
-lab_cut(descriptors net/request_lifecycle.cpp "void RequestLifecycle::Respond(uint32_t id, Answer answer) {"
-        "void RequestLifecycle::Respond(uint32_t id, Answer answer) {
+lab_cut(descriptors net/request_lifecycle.cpp "void RequestLifecycle::Respond(uint32_t id, ClientResponse response) {"
+        "void RequestLifecycle::Respond(uint32_t id, ClientResponse response) {
   std::tmpfile();")
 lab_cut(record net/maintenance.cpp "  if (path_.empty()) return false;" "  return false;")
-lab_cut(figure net/backend_connection.cpp "++pool_->metrics_->tries;" "")
-lab_cut(readiness net/request_lifecycle.cpp "answer.status = target == \"/-/ready\" ? ready_status : kStatusNotFound;"
-        "answer.status = 200;")
+lab_cut(figure net/backend_connection.cpp "++pool_->metrics_->requests_written;" "")
+lab_cut(readiness net/request_lifecycle.cpp "response.status = target == \"/-/ready\" ? ready_status : kStatusNotFound;"
+        "response.status = 200;")
 lab_cut(reload net/configuration_manager.cpp "void ConfigurationManager::ReloadFile(int attempts_left) {"
         "void ConfigurationManager::ReloadFile(int attempts_left) {
   if (attempts_left >= 0) return;")
--- a/src/net/admin_api.cpp
+++ b/src/net/admin_api.cpp
@@ -63,7 +63,7 @@
   std::string_view verb = slash == std::string_view::npos ? "" : path.substr(slash + 1);
   if (verb != "offline" && verb != "online") return std::nullopt;
   if (request.method != "PUT") return MethodNotAllowed("PUT");
-  return SetOffline(Unescaped(path.substr(0, slash)), verb == "offline");
+  return SetOffline(PercentDecode(path.substr(0, slash)), verb == "offline");
 }
 
 AdminResponse AdminApi::SetOffline(const std::string& name, bool offline) {
--- a/src/net/admin_server.cpp
+++ b/src/net/admin_server.cpp
@@ -21,8 +21,8 @@
       : server_(server), socket_(std::move(socket)), timer_(server->io_) {}
 
   void Start() {
-    Prepare(socket_);
-    Renew(&parser_, kMaxBodyBytes);
+    ConfigureSocket(socket_);
+    ResetParser(&parser_, kMaxBodyBytes);
     parser_->header_limit(kMaxHeadBytes);
     StartTimeout(kRequestTimeout);
     Read();
@@ -78,8 +78,9 @@
     if (parser_->is_done()) {
       const auto& request = parser_->get();
       bool framed = request.count(http::field::content_length) > 0 || request.chunked();
-      return Respond(server_->handler_({std::string(View(request.method_string())),
-                                        std::string(View(request.target())), request.body(), framed}));
+      return Respond(
+          server_->handler_({std::string(ToStringView(request.method_string())),
+                             std::string(ToStringView(request.target())), request.body(), framed}));
     }
     if (parser_->is_header_done() && !continue_sent_ &&
         boost::beast::iequals(parser_->get()[http::field::expect], "100-continue")) {
@@ -92,7 +93,7 @@
     responded_ = true;
     buffer_.clear();
     message_ = "HTTP/1.1 " + std::to_string(response.status) + " " +
-               std::string(View(http::obsolete_reason(static_cast<http::status>(response.status)))) +
+               std::string(ToStringView(http::obsolete_reason(static_cast<http::status>(response.status)))) +
                "\r\nContent-Type: " + response.content_type +
                "\r\nConnection: close\r\nContent-Length: " + std::to_string(response.body.size()) +
                "\r\n\r\n" + response.body;
--- a/src/net/backend_connection.cpp
+++ b/src/net/backend_connection.cpp
@@ -45,7 +45,8 @@
 
 template <typename Fields>
 void AppendClientHeaders(const Fields& fields, std::string* out) {
-  AppendEndToEnd(fields, out, [](const auto& field) { return IsInternalHeader(View(field.name_string())); });
+  AppendEndToEnd(fields, out,
+                 [](const auto& field) { return IsInternalHeader(ToStringView(field.name_string())); });
 }
 
 // Reads X-Cost-Units; 0 if it is no positive number.
@@ -91,7 +92,7 @@
   deadline_ = started_at_ + Seconds(std::max(0.0, limits.patience_s));
   send_deadline_ =
       limits.begin_s > 0 ? std::min(deadline_, started_at_ + Seconds(limits.begin_s)) : deadline_;
-  Renew(&parser_, kMostStreamed);
+  ResetParser(&parser_, kMaxStreamedBytes);
   if (open_) {
     OnConnected();
   } else {
@@ -182,7 +183,7 @@
     open_ = true;
     OnConnected();
   };
-  if (error_code error = Open(socket_, address_))
+  if (error_code error = OpenSocket(socket_, address_))
     return asio::post(pool_->io_, [on_connect, error] { on_connect(error); });
   socket_.async_connect(address_, on_connect);
 }
@@ -190,7 +191,7 @@
 // A resource that this machine lacks says nothing about the backend and may be available again in a moment.
 // The connect is retried here, since an attempt on another backend would fail alike.
 void BackendConnection::OnConnectFailed(error_code error) {
-  if (!IsShortage(error.value())) return Finish(AttemptResult::kConnectFailed);
+  if (!IsResourceShortage(error.value())) return Finish(AttemptResult::kConnectFailed);
   local_shortage_ = true;
   CloseNow(socket_);
   connect_backoff_ =
@@ -232,10 +233,11 @@
   };
   bool in_time =
       now < send_deadline_ + kMaxProcessStall + kDeadlineSlack && pool_->IsSendWithinGrace(backend_, now);
-  if (!in_time) invariants.Violated(Invariant::kSentInTime, ids());
+  if (!in_time) invariants.RecordViolation(Invariant::kSentInTime, ids());
   double remaining_s = ElapsedSeconds(now, deadline_);
   if (!streamed_request_ && announced_s > std::max(0.001, remaining_s) + kTimeoutHeaderSlackS)
-    invariants.Violated(Invariant::kTimeTold, ids() + " told_s=" + std::to_string(announced_s));
+    invariants.RecordViolation(Invariant::kTimeoutAnnounced,
+                               ids() + " told_s=" + std::to_string(announced_s));
 }
 
 void BackendConnection::Write() {
@@ -246,7 +248,7 @@
     if (!error) {
       if (streamed_request_) WaitUntil(deadline_);
       written_ = true;
-      ++pool_->metrics_->tries;
+      ++pool_->metrics_->requests_written;
       message_ = std::string();
       return;
     }
@@ -301,7 +303,8 @@
     if (error == asio::error::eof && !incomplete && parser_->is_done()) return OnResponse(false);
     Finish(written_ ? AttemptResult::kReset : AttemptResult::kConnectFailed);
   };
-  socket_.async_read_some(buffer_.prepare(streaming_response_ ? kPiece : kReadChunk), std::move(on_read));
+  socket_.async_read_some(buffer_.prepare(streaming_response_ ? kMaxPieceBytes : kReadChunk),
+                          std::move(on_read));
 }
 
 void BackendConnection::ContinueReading() {
@@ -341,7 +344,7 @@
     if (!error && !had_header && parser_->is_header_done() && !HasUnambiguousFraming(parser_->get()))
       error = http::error::bad_transfer_encoding;
     bool interim = !error && parser_->is_done() && parser_->get().result_int() / 100 == 1;
-    if (interim) Renew(&parser_, kMostStreamed);
+    if (interim) ResetParser(&parser_, kMaxStreamedBytes);
   }
   return error;
 }
@@ -352,7 +355,7 @@
   auto length = parser_->content_length();
   size_t max_buffered = pool_->MaxBufferedBytes();
   if (length) return *length > max_buffered;
-  return !parser_->is_done() && body_.size() > std::min(max_buffered, kPiece);
+  return !parser_->is_done() && body_.size() > std::min(max_buffered, kMaxPieceBytes);
 }
 
 // False if the response has no receiver any more.
@@ -387,10 +390,10 @@
   end.streamed = streaming_response_;
   auto& response = parser_->get();
   unsigned status = response.result_int();
-  bool not_started = View(response["Not-Started"]) == "1";
+  bool not_started = ToStringView(response["Not-Started"]) == "1";
   if (status == 200) {
     end.result = AttemptResult::kOk;
-    end.true_units = ParseCostUnits(View(response["X-Cost-Units"]));
+    end.true_units = ParseCostUnits(ToStringView(response["X-Cost-Units"]));
     if (!streaming_response_) AppendClientHeaders(response, &end.headers);
     end.body = std::exchange(body_, std::string());
   } else {
--- a/src/net/backend_connection.h
+++ b/src/net/backend_connection.h
@@ -38,7 +38,7 @@
   /// Whether the pause between two attempts on one connection is over.
   bool Reusable(Clock::time_point now) const { return now >= reusable_at_; }
   /// Whether the idle connection can carry another attempt: open on both sides and without unread bytes.
-  bool IsUsable() { return open_ && !busy_ && !Stale(socket_); }
+  bool IsUsable() { return open_ && !busy_ && !IsStale(socket_); }
 
   /// Connects if necessary and sends `message`. `done` runs once, never within this call.
   void Start(uint64_t attempt, AttemptMessage message, AttemptLimits limits, Done done, AttemptStream stream);
--- a/src/net/backend_pool.h
+++ b/src/net/backend_pool.h
@@ -61,9 +61,9 @@
 
   void CloseIdle();
   void SetLimits(double idle_s, double connect_timeout_s, double drain_grace_s);
-  void SetMost(size_t connections) { max_connections_ = connections; }
+  void SetMaxConnections(size_t connections) { max_connections_ = connections; }
   /// Limits the bytes of incomplete responses that all attempts together may buffer.
-  void SetBudget(size_t bytes) { buffer_budget_bytes_ = bytes; }
+  void SetBufferBudget(size_t bytes) { buffer_budget_bytes_ = bytes; }
   size_t connections() const { return connections_; }
 
  private:
@@ -93,8 +93,8 @@
   Clock::duration idle_, connect_timeout_, drain_grace_;
   size_t max_connections_, buffer_budget_bytes_ = 0;
   Metrics* metrics_;
-  std::array<char, kPiece> decode_buffer_;  // a parser's output, valid within one call
-  size_t connections_ = 0;                  // idle, connecting and busy
+  std::array<char, kMaxPieceBytes> decode_buffer_;  // a parser's output, valid within one call
+  size_t connections_ = 0;                          // idle, connecting and busy
   uint64_t last_attempt_ = 0;
   std::unordered_map<uint32_t, std::unique_ptr<Backend>> backends_;
   std::unordered_set<uint32_t> offline_;
--- a/src/net/client_call.cpp
+++ b/src/net/client_call.cpp
@@ -20,7 +20,7 @@
   std::string combined;
   auto [begin, end] = message.equal_range(name);
   for (auto line = begin; line != end; ++line)
-    combined.append(combined.empty() ? "" : separator).append(View(line->value()));
+    combined.append(combined.empty() ? "" : separator).append(ToStringView(line->value()));
   return combined;
 }
 
@@ -29,12 +29,12 @@
 std::optional<double> ParseTimeout(const ClientMessage& message) {
   constexpr const char* kName = "Request-Timeout-Ms";
   if (message.count(kName) != 1) return std::nullopt;
-  std::string_view text = Trim(View(message[kName]));
+  std::string_view text = Trim(ToStringView(message[kName]));
   if (text.empty() || text.find_first_not_of("0123456789") != std::string_view::npos) return std::nullopt;
   uint64_t ms = 0;
-  if (!Number(text, &ms)) return kMostTimeoutS;
+  if (!ParseNumber(text, &ms)) return kMaxTimeoutS;
   if (ms == 0) return std::nullopt;
-  return std::min(static_cast<double>(ms) / 1000, kMostTimeoutS);
+  return std::min(static_cast<double>(ms) / 1000, kMaxTimeoutS);
 }
 
 // The index of `name` in `names`, -1 if it is not among them.
@@ -49,20 +49,20 @@
 // The customer is the cookie `client`: up to 16 hexadecimal digits, optionally quoted.
 bool ParseCustomer(const ClientMessage& message, uint64_t* customer_id) {
   std::string cookies = CombinedField(message, "Cookie", "; ");
-  auto customer = Part(cookies, ';', "client");
+  auto customer = FindValue(cookies, ';', "client");
   if (!customer) return false;
   if (customer->size() > 1 && customer->front() == '"' && customer->back() == '"') {
     customer = customer->substr(1, customer->size() - 2);
   }
-  return customer->size() <= 16 && Number(*customer, customer_id, 16);
+  return customer->size() <= 16 && ParseNumber(*customer, customer_id, 16);
 }
 
 bool ParseCallTerms(const ClientMessage& message, policy::Request* request) {
   std::string terms = CombinedField(message, "X-Call-Terms", ", ");
-  auto units = Part(terms, ',', "units"), spread = Part(terms, ',', "spread");
-  if (!units || !Number(*units, &request->units)) return false;
+  auto units = FindValue(terms, ',', "units"), spread = FindValue(terms, ',', "spread");
+  if (!units || !ParseNumber(*units, &request->units)) return false;
   if (!std::isfinite(request->units) || request->units <= 0) return false;
-  if (!spread || !Number(*spread, &request->entry_gateways)) return false;
+  if (!spread || !ParseNumber(*spread, &request->entry_gateways)) return false;
   return std::isfinite(request->entry_gateways) && request->entry_gateways >= 1;
 }
 
@@ -82,21 +82,21 @@
 ClientCall ReadCall(const ClientMessage& message, const Config& config) {
   ClientCall call;
   call.status = 400;
-  std::string_view target = OriginForm(View(message.target()));
+  std::string_view target = OriginForm(ToStringView(message.target()));
   if (target.empty() || target.front() != '/') return call;
   policy::Request& request = call.request;
   std::string_view path = target.substr(1, std::min(target.find_first_of("/?#", 1), target.size()) - 1);
-  request.class_index = Position(config.site.classes, config::PlainName(Unescaped(path)));
-  request.plan_index = Position(config.site.plans, config::PlainName(View(message["X-Tier"])));
+  request.class_index = Position(config.site.classes, config::PlainName(PercentDecode(path)));
+  request.plan_index = Position(config.site.plans, config::PlainName(ToStringView(message["X-Tier"])));
   if (request.class_index < 0 || request.plan_index < 0) return call;
-  if (View(message["Request-Id"]).empty()) return call;
+  if (ToStringView(message["Request-Id"]).empty()) return call;
   if (!ParseCustomer(message, &request.customer_id)) return call;
   auto timeout_s = ParseTimeout(message);
   if (!timeout_s) return call;
   const auto& settings = config.settings.classes[static_cast<size_t>(request.class_index)];
   call.timeout_s = std::min(*timeout_s, settings.deadline_s);
   if (!ParseCallTerms(message, &request)) return call;
-  if (settings.idempotency == Idempotency::kWithinWindow && View(message["Idempotency-Key"]).empty())
+  if (settings.idempotency == Idempotency::kWithinWindow && ToStringView(message["Idempotency-Key"]).empty())
     return call;
   call.status = 405;
   bool idempotent = settings.idempotency == Idempotency::kIdempotent;
--- a/src/net/client_call.h
+++ b/src/net/client_call.h
@@ -11,7 +11,7 @@
 namespace lemonchute::net {
 
 /// Upper bound of a client's timeout.
-inline constexpr double kMostTimeoutS = 600;
+inline constexpr double kMaxTimeoutS = 600;
 
 /// A validated request.
 struct ClientCall {
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -15,7 +15,7 @@
 // less where memory is short. Bytes beyond it are read all the same, because the client's close behind them
 // would go unnoticed otherwise; they are discarded, and the next response ends the connection.
 constexpr size_t kMaxPipelinedBytes = kMaxHeader + kMaxBody;
-constexpr size_t kMaxLingerBytes = kMostStreamed;  // read and ignored, per connection
+constexpr size_t kMaxLingerBytes = kMaxStreamedBytes;  // read and ignored, per connection
 
 // For a response, or a piece of one, to be read by the client.
 constexpr auto kWriteTimeout = std::chrono::seconds(10);
@@ -44,12 +44,12 @@
   Read();
 }
 
-void ClientConnection::Reply(const Answer& answer) {
-  if (state_ == State::kStreaming) return EndStream(answer.status == 200);
+void ClientConnection::Reply(const ClientResponse& response) {
+  if (state_ == State::kStreaming) return EndStream(response.status == 200);
   if (state_ != State::kAwaitingResponse) return;
   // Nothing will read the rest of an upload, so the response ends the connection.
-  bool keep_alive = keep_alive_ && !streaming_request_ && !server_->closing_after_response_;
-  Write(answer, keep_alive);
+  bool keep_alive = keep_alive_ && !streaming_request_ && !server_->close_after_response_;
+  Write(response, keep_alive);
 }
 
 void ClientConnection::Pull(OnPiece on_piece) {
@@ -67,7 +67,7 @@
   stream_ended_ = false;
   chunked_ = !length && version_ >= 11;
   close_delimited_ = !length && !chunked_;
-  if (server_->closing_after_response_ || close_delimited_) keep_alive_ = false;
+  if (server_->close_after_response_ || close_delimited_) keep_alive_ = false;
   pending_ = std::exchange(unsent_interim_, std::string()) + "HTTP/1.1 200 OK\r\n";
   if (length) pending_ += "Content-Length: " + std::to_string(*length) + "\r\n";
   if (chunked_) pending_ += "Transfer-Encoding: chunked\r\n";
@@ -101,7 +101,7 @@
 }
 
 // The client's close may still be in the socket's buffer, also behind bytes that were not read.
-bool ClientConnection::ClientPresent() {
+bool ClientConnection::IsClientConnected() {
   error_code error;
   if (PeekByte(socket_, error) == 0) return error == asio::error::would_block;
   pollfd events{socket_.native_handle(), POLLRDHUP, 0};
@@ -132,7 +132,7 @@
   error_code error;
   socket_.shutdown(tcp::socket::shutdown_send, error);
   for (size_t total = 0, size = 1; size > 0 && total < kMaxLingerBytes; total += size)
-    size = Uninterrupted(error, [&](error_code& failed) {
+    size = RetryOnInterrupt(error, [&](error_code& failed) {
       return socket_.receive(asio::buffer(server_->decode_buffer_), 0, failed);
     });
   CloseNow(socket_);
@@ -148,12 +148,12 @@
   state_ = State::kReading;
   request_begun_ = continue_sent_ = body_timer_started_ = streaming_request_ = false;
   body_.clear();
-  Renew(&parser_, kMostStreamed);
+  ResetParser(&parser_, kMaxStreamedBytes);
   idle_position_ = server_->idle_order_.insert(server_->idle_order_.end(), id_);
 }
 
 bool ClientConnection::IsBufferFull() const {
-  size_t limit = streaming_request_ ? 2 * kPiece : kMaxHeader + server_->MaxBufferedBytes();
+  size_t limit = streaming_request_ ? 2 * kMaxPieceBytes : kMaxHeader + server_->MaxBufferedBytes();
   return buffer_.size() >= limit;
 }
 
@@ -178,7 +178,7 @@
   size_t size = 0;
   if (!error) {
     auto target = discard ? asio::buffer(server_->decode_buffer_) : buffer_.prepare(kReadChunk);
-    size = Uninterrupted(error, [&](error_code& failed) { return socket_.read_some(target, failed); });
+    size = RetryOnInterrupt(error, [&](error_code& failed) { return socket_.read_some(target, failed); });
   }
   if (error == asio::error::would_block) return Read();
   // The client has left. Without a request in flight that only ends the connection.
@@ -288,9 +288,9 @@
 
 void ClientConnection::RejectMalformed(error_code error) {
   if (read_timer_running_) timer_.Cancel();
-  Answer answer;
-  answer.status = error == http::error::header_limit ? 431 : error == http::error::body_limit ? 413 : 400;
-  Write(answer, false);
+  ClientResponse response;
+  response.status = error == http::error::header_limit ? 431 : error == http::error::body_limit ? 413 : 400;
+  Write(response, false);
 }
 
 void ClientConnection::StartReadTimer(std::chrono::milliseconds timeout, CloseReason reason) {
@@ -303,7 +303,7 @@
 // Passes the next piece of an upload to whoever has asked for it. At most one piece is decoded ahead.
 void ClientConnection::DeliverUpload() {
   // A framing error cannot be answered once a part of the request was forwarded.
-  if (Decode(kPiece)) return Close(CloseReason::kBrokenBody);
+  if (Decode(kMaxPieceBytes)) return Close(CloseReason::kBrokenBody);
   if (!on_piece_ || (body_.empty() && !parser_->is_done())) return;
   bool last = parser_->is_done();
   if (last) {
@@ -337,12 +337,12 @@
   window_over ? StartUploadWindow() : ScheduleUploadCheck();
 }
 
-void ClientConnection::Write(const Answer& answer, bool keep_alive) {
+void ClientConnection::Write(const ClientResponse& response, bool keep_alive) {
   state_ = State::kWriting;
   streaming_request_ = false;
   on_piece_ = nullptr;
   writing_ = std::exchange(unsent_interim_, std::string());
-  AppendResponse(answer, ConnectionHeader(version_, keep_alive), &writing_);
+  AppendResponse(response, ConnectionHeader(version_, keep_alive), &writing_);
   WriteAll(socket_, writing_, [self = shared_from_this(), this, keep_alive](error_code error) {
     if (state_ == State::kClosed) return;
     timer_.Cancel();
@@ -398,7 +398,7 @@
   stream_ended_ = false;
   pending_ = std::string();
   // The server may have begun to close connections since the stream began.
-  if (stream_complete_) return OnResponseSent(keep_alive_ && !server_->closing_after_response_);
+  if (stream_complete_) return OnResponseSent(keep_alive_ && !server_->close_after_response_);
   // The client notices the missing length or last chunk. Where the body ends with the connection only a reset
   // shows that it was cut short.
   error_code ignored;
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -51,7 +51,7 @@
 
   void Start();
   /// Sends the response, or ends a streamed one: complete with status 200, otherwise cut short.
-  void Reply(const Answer& answer);
+  void Reply(const ClientResponse& response);
   /// Asks for the next piece of the upload.
   void Pull(OnPiece on_piece);
   /// Begins a streamed response; chunked if its length in bytes is not known.
@@ -64,7 +64,7 @@
   /// @return whether the connection is being closed
   bool CloseIfIdle(std::chrono::milliseconds linger);
   /// Whether the client has not closed its end, neither read here nor still in the socket's buffer.
-  bool ClientPresent();
+  bool IsClientConnected();
   /// Closes the socket and reports the end of the connection. Idempotent.
   void Close(CloseReason reason);
   /// Closes the socket at the end of the process, without reporting it.
@@ -104,7 +104,7 @@
   void CheckUpload();
 
   // Responses.
-  void Write(const Answer& answer, bool keep_alive);
+  void Write(const ClientResponse& response, bool keep_alive);
   void OnResponseSent(bool keep_alive);
   void FlushStream();
   void EndStream(bool complete);
--- a/src/net/client_server.cpp
+++ b/src/net/client_server.cpp
@@ -24,7 +24,7 @@
   for (auto& [id, connection] : connections_) connection->Detach();
 }
 
-void ClientServer::SetMost(size_t connections) {
+void ClientServer::SetMaxConnections(size_t connections) {
   max_connections_ = connections;
   ResumeAccepting();
 }
@@ -56,7 +56,7 @@
 }
 
 void ClientServer::OnAccepted(tcp::socket socket) {
-  Prepare(socket);
+  ConfigureSocket(socket);
   uint64_t id = ++last_id_;
   auto connection = std::make_shared<ClientConnection>(this, id, std::move(socket));
   connections_[id] = connection;
@@ -74,8 +74,8 @@
   return it == connections_.end() ? nullptr : it->second;
 }
 
-void ClientServer::Reply(uint64_t id, Answer answer) {
-  if (auto connection = Find(id)) connection->Reply(answer);
+void ClientServer::Reply(uint64_t id, ClientResponse response) {
+  if (auto connection = Find(id)) connection->Reply(response);
 }
 
 void ClientServer::Pull(uint64_t id, OnPiece on_piece) {
@@ -90,12 +90,12 @@
   if (auto connection = Find(id)) connection->Put(piece, std::move(taken));
 }
 
-bool ClientServer::ClientPresent(uint64_t id) const {
+bool ClientServer::IsClientConnected(uint64_t id) const {
   auto connection = Find(id);
-  return connection != nullptr && connection->ClientPresent();
+  return connection != nullptr && connection->IsClientConnected();
 }
 
-void ClientServer::ClientLeft(uint64_t id) {
+void ClientServer::CloseDisconnected(uint64_t id) {
   if (auto connection = Find(id)) connection->Close(CloseReason::kClientEnded);
 }
 
--- a/src/net/client_server.h
+++ b/src/net/client_server.h
@@ -44,13 +44,13 @@
   void Accept();
   /// Stops accepting. Connections in the queue of a shared socket are left to the other processes.
   void StopAccepting() { listener_.Release(); }
-  void SetMost(size_t connections);
+  void SetMaxConnections(size_t connections);
   /// Limits the bytes of request bodies that all connections together may buffer.
-  void SetBudget(size_t bytes) { buffer_budget_bytes_ = bytes; }
+  void SetBufferBudget(size_t bytes) { buffer_budget_bytes_ = bytes; }
   tcp::endpoint local() const { return listener_.local(); }
 
   /// Sends the final response. Ends a streamed response: complete with status 200, otherwise cut short.
-  void Reply(uint64_t connection, Answer answer);
+  void Reply(uint64_t connection, ClientResponse response);
   /// Asks for the next piece of an upload. `on_piece` is not called if the connection ends before.
   void Pull(uint64_t connection, OnPiece on_piece);
   /// Begins a streamed response; `length` in bytes, if known.
@@ -58,16 +58,16 @@
   /// Sends a piece of the streamed response; the next one may follow once `taken` was called.
   void Put(uint64_t connection, const std::string& piece, std::function<void()> taken);
   /// Whether the client has not closed its end, neither read here nor still in the socket's buffer.
-  bool ClientPresent(uint64_t connection) const;
+  bool IsClientConnected(uint64_t connection) const;
   /// Closes a connection whose client is not present any more.
-  void ClientLeft(uint64_t connection);
+  void CloseDisconnected(uint64_t connection);
 
   /// While true each response ends its connection.
-  void AskToClose(bool ask) { closing_after_response_ = ask; }
+  void SetCloseAfterResponse(bool ask) { close_after_response_ = ask; }
   /// Closes the connections on which no request has begun.
   void CloseIdle();
   /// Whether no connection is open and none waits to be accepted.
-  bool Quiet() { return connections_.empty() && !listener_.Waiting(); }
+  bool HasNoConnections() { return connections_.empty() && !listener_.HasPendingConnection(); }
 
  private:
   friend class ClientConnection;
@@ -89,11 +89,11 @@
   OnClosed on_closed_;
   uint64_t last_id_ = 0;
   size_t lingering_connections_ = 0;  // shut down for writing, not closed yet
-  bool closing_after_response_ = false;
+  bool close_after_response_ = false;
   bool accept_paused_ = false;  // the limit of connections is reached
   std::unordered_map<uint64_t, std::shared_ptr<ClientConnection>> connections_;
-  std::list<uint64_t> idle_order_;          // longest idle first
-  std::array<char, kPiece> decode_buffer_;  // a parser's output, valid within one call
+  std::list<uint64_t> idle_order_;                  // longest idle first
+  std::array<char, kMaxPieceBytes> decode_buffer_;  // a parser's output, valid within one call
 };
 
 }  // namespace lemonchute::net
--- a/src/net/configuration_api.cpp
+++ b/src/net/configuration_api.cpp
@@ -94,16 +94,16 @@
 // Reads an optional parameter of the query.
 // @return false where it is there and is no number.
 bool ReadRevision(std::string_view query, std::string_view name, std::optional<uint64_t>* value) {
-  auto text = Part(query, '&', name);
+  auto text = FindValue(query, '&', name);
   if (!text) return true;
   value->emplace();
-  return Number(*text, &**value);
+  return ParseNumber(*text, &**value);
 }
 
 bool ReadConfirmTime(std::string_view query, double* seconds) {
-  auto text = Part(query, '&', "confirm_s");
+  auto text = FindValue(query, '&', "confirm_s");
   if (!text) return true;
-  return Number(*text, seconds) && std::isfinite(*seconds) && *seconds > 0 &&
+  return ParseNumber(*text, seconds) && std::isfinite(*seconds) && *seconds > 0 &&
          *seconds <= config::kMaxConfirmWithinS;
 }
 
@@ -166,7 +166,7 @@
 AdminResponse ConfigurationApi::StoredRevision(std::string_view number) const {
   uint64_t wanted = 0;
   const config::Revision* found =
-      Number(number, &wanted) ? manager_->revisions().state().Find(wanted) : nullptr;
+      ParseNumber(number, &wanted) ? manager_->revisions().state().Find(wanted) : nullptr;
   if (found == nullptr || found->document.is_null()) return ErrorAnswer(404, "that revision is not kept");
   return JsonAnswer(200, found->document);
 }
--- a/src/net/counter_client.cpp
+++ b/src/net/counter_client.cpp
@@ -70,10 +70,10 @@
     if (!open_ || calls_.empty()) Close(false);
   }
   bool retired() const { return retired_; }
-  bool Usable() { return open_ && (!calls_.empty() || !Stale(socket_)); }
+  bool Usable() { return open_ && (!calls_.empty() || !IsStale(socket_)); }
 
   void Connect() {
-    error_code error = Open(socket_, client_->address_);
+    error_code error = OpenSocket(socket_, client_->address_);
     if (error) return asio::post(client_->io_, [self = shared_from_this(), this] { Close(true); });
     timer_.expires_after(client_->connect_timeout_);
     timer_.async_wait([self = shared_from_this(), this](error_code cancelled) {
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -105,14 +105,14 @@
   request_ = "GET /api/targets";
   if (watch) request_ += "?after=" + std::to_string(*index_) + "&wait_ms=" + std::to_string(wait_ms);
   request_ += " HTTP/1.1\r\nHost: discovery\r\n\r\n";
-  Renew(&parser_, kMaxListBytes);
+  ResetParser(&parser_, kMaxListBytes);
   timer_.expires_after(kCallTimeout + std::chrono::milliseconds(wait_ms));
   timer_.async_wait([this, call](error_code cancelled) {
     if (cancelled || call != call_) return;
     backoff_ = {};  // the timeout was pause enough
     OnFailure();
   });
-  if (socket_.is_open() && !Stale(socket_)) {
+  if (socket_.is_open() && !IsStale(socket_)) {
     Send();
   } else {
     CloseNow(socket_);
@@ -122,7 +122,7 @@
 
 void DiscoveryClient::Connect() {
   buffer_.clear();
-  error_code error = Open(socket_, address_);
+  error_code error = OpenSocket(socket_, address_);
   if (error) return OnFailure();
   socket_.async_connect(address_, [this, call = call_](error_code failed) {
     if (call != call_) return;
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -44,7 +44,7 @@
                         [this] { lifecycle_.ApplyResourceLimits(); }}),
       admin_api_(lifecycle_, offline_backends_, *config_manager, members_, metrics_,
                  [this] { return ReadGauges(); }) {
-  metrics_.classes = metrics_.WithNames(config.site.classes);
+  metrics_.classes = metrics_.CountsForClasses(config.site.classes);
   counter_.Start(counter_.Prepare(config));
   StartPolicy(config);
   offline_backends_.Apply();
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -15,13 +15,13 @@
 
 namespace http = boost::beast::http;
 
-inline constexpr size_t kMaxBody = 64 * 1024;    ///< Bytes of a body that is buffered.
-inline constexpr size_t kMaxHeader = 16 * 1024;  ///< Bytes of a message's header.
-inline constexpr size_t kReadChunk = 4096;       ///< Bytes of one read.
-inline constexpr size_t kPiece = 16 * 1024;      ///< Bytes of a piece of a streamed body, at most.
-inline constexpr uint64_t kMostStreamed = uint64_t{48} << 20;  ///< Bytes of a streamed body.
+inline constexpr size_t kMaxBody = 64 * 1024;        ///< Bytes of a body that is buffered.
+inline constexpr size_t kMaxHeader = 16 * 1024;      ///< Bytes of a message's header.
+inline constexpr size_t kReadChunk = 4096;           ///< Bytes of one read.
+inline constexpr size_t kMaxPieceBytes = 16 * 1024;  ///< Bytes of a piece of a streamed body, at most.
+inline constexpr uint64_t kMaxStreamedBytes = uint64_t{48} << 20;  ///< Bytes of a streamed body.
 
-inline std::string_view View(boost::beast::string_view text) { return {text.data(), text.size()}; }
+inline std::string_view ToStringView(boost::beast::string_view text) { return {text.data(), text.size()}; }
 
 /// Whether a header applies to one hop only (RFC 9110, 7.6.1) or is written by the gateway itself.
 inline bool IsHopByHop(http::field name) {
@@ -47,7 +47,10 @@
   http::token_list connection_options(fields[http::field::connection]);
   for (const auto& field : fields) {
     if (IsHopByHop(field.name()) || connection_options.exists(field.name_string()) || skip(field)) continue;
-    out->append(View(field.name_string())).append(": ").append(View(field.value())).append("\r\n");
+    out->append(ToStringView(field.name_string()))
+        .append(": ")
+        .append(ToStringView(field.value()))
+        .append("\r\n");
   }
 }
 
@@ -65,7 +68,7 @@
 /// Replaces the parser by one for the next message, with its size limits. Not eager: an eager parser
 /// continues into the body in the same call and thereby loses the error for a Content-Length above the limit.
 template <typename Parser>
-void Renew(std::optional<Parser>* parser, uint64_t max_body) {
+void ResetParser(std::optional<Parser>* parser, uint64_t max_body) {
   parser->emplace();
   (*parser)->header_limit(kMaxHeader);
   (*parser)->body_limit(max_body);
--- a/src/net/in_flight_request.cpp
+++ b/src/net/in_flight_request.cpp
@@ -34,9 +34,9 @@
   limits.margin_s = std::min(kResponseMarginS, kResponseMarginShare * client_timeout_s);
   if (upload) {
     // The client's time counts from its last byte. Until then the limit of the upload holds.
-    uint64_t missing_bytes = upload->length ? *upload->length - message.body().size() : kMostStreamed;
+    uint64_t missing_bytes = upload->length ? *upload->length - message.body().size() : kMaxStreamedBytes;
     limits.timeout_s =
-        std::min(kMostTimeoutS, client_timeout_s + static_cast<double>(missing_bytes) / kMinUploadBytesPerS);
+        std::min(kMaxTimeoutS, client_timeout_s + static_cast<double>(missing_bytes) / kMinUploadBytesPerS);
   }
   limits.timeout_s = std::min(limits.timeout_s, remaining_lifetime_s);
   return limits;
@@ -46,11 +46,14 @@
                                     const std::optional<Upload>& upload) {
   InFlightRequest request;
   request.connection = connection;
-  request.request_id = View(message["Request-Id"]);
+  request.request_id = ToStringView(message["Request-Id"]);
   request.body_streamed = upload.has_value();
   request.chunked = upload && !upload->length;
   request.head.reserve(kTypicalHeadBytes);
-  request.head.append(View(message.method_string())).append(" ").append(target).append(" HTTP/1.1\r\n");
+  request.head.append(ToStringView(message.method_string()))
+      .append(" ")
+      .append(target)
+      .append(" HTTP/1.1\r\n");
   AppendEndToEnd(message, &request.head, [](const auto& field) {
     return boost::beast::iequals(field.name_string(), "Request-Timeout-Ms");
   });
--- a/src/net/invariants.cpp
+++ b/src/net/invariants.cpp
@@ -14,7 +14,7 @@
     case Invariant::kAnsweredBeforeClose: return "answered_before_close";
     case Invariant::kAnsweredInTime: return "answered_in_time";
     case Invariant::kSentInTime: return "sent_in_time";
-    case Invariant::kTimeTold: return "time_told";
+    case Invariant::kTimeoutAnnounced: return "time_told";
     case Invariant::kSafeRepeat: return "safe_repeat";
     case Invariant::kReadyInTime: return "ready_in_time";
     case Invariant::kCount: break;
@@ -22,7 +22,7 @@
   return "unknown";
 }
 
-void Invariants::Violated(Invariant invariant, const std::string& context) {
+void Invariants::RecordViolation(Invariant invariant, const std::string& context) {
   ++violations_[static_cast<size_t>(invariant)];
   if (TakeLogLine()) std::fprintf(stderr, "invariant violated: %s: %s\n", Name(invariant), context.c_str());
 }
--- a/src/net/invariants.h
+++ b/src/net/invariants.h
@@ -14,11 +14,11 @@
 enum class Invariant {
   kAnsweredBeforeClose,  // the gateway closes no connection whose request has no response
   kAnsweredInTime,       // a response is decided at most 0.5 s after the request's deadline
-  kSentInTime,   // an attempt's first byte is sent within its deadline, its retry window and the grace
-                 // of a draining backend
-  kTimeTold,     // an attempt's Request-Timeout-Ms is at most the time left plus the protocol's slack
-  kSafeRepeat,   // no request is retried or hedged that must not run twice
-  kReadyInTime,  // a process accepts clients within 10 s of its start
+  kSentInTime,        // an attempt's first byte is sent within its deadline, its retry window and the grace
+                      // of a draining backend
+  kTimeoutAnnounced,  // an attempt's Request-Timeout-Ms is at most the time left plus the protocol's slack
+  kSafeRepeat,        // no request is retried or hedged that must not run twice
+  kReadyInTime,       // a process accepts clients within 10 s of its start
   kCount,
 };
 /// @return the name in the metrics and the log.
@@ -28,7 +28,7 @@
 class Invariants {
  public:
   /// @param context names the request, connection, attempt and backend.
-  void Violated(Invariant invariant, const std::string& context);
+  void RecordViolation(Invariant invariant, const std::string& context);
   uint64_t violations(Invariant invariant) const { return violations_[static_cast<size_t>(invariant)]; }
 
  private:
--- a/src/net/lifecycle.cpp
+++ b/src/net/lifecycle.cpp
@@ -69,7 +69,7 @@
   process_.accepting = true;
   double took_s = std::chrono::duration<double>(Clock::now() - started_at_).count();
   if (took_s > kMaxStartupS && !peer_process_alive_)
-    metrics_.invariants.Violated(Invariant::kReadyInTime, "took_s=" + std::to_string(took_s));
+    metrics_.invariants.RecordViolation(Invariant::kReadyInTime, "took_s=" + std::to_string(took_s));
   server_.Accept();
 }
 
@@ -103,10 +103,10 @@
 
 void Lifecycle::ApplyResourceLimits() {
   ResourceLimits limits = ComputeResourceLimits(*config_, ProcessCount());
-  server_.SetMost(limits.client_connections);
-  server_.SetBudget(limits.body_bytes);
-  pool_.SetBudget(limits.body_bytes);
-  pool_.SetMost(limits.backend_connections);
+  server_.SetMaxConnections(limits.client_connections);
+  server_.SetBufferBudget(limits.body_bytes);
+  pool_.SetBufferBudget(limits.body_bytes);
+  pool_.SetMaxConnections(limits.backend_connections);
 }
 
 void Lifecycle::StartDraining() {
@@ -114,7 +114,7 @@
   process_.draining = true;
   members_.Leave(false);
   drain_timer_.Start(Seconds(kLateArrivalS), [this] {
-    server_.AskToClose(true);
+    server_.SetCloseAfterResponse(true);
     CloseIdleConnections();
   });
 }
@@ -129,7 +129,7 @@
   process_.draining = false;
   members_.Return();
   drain_timer_.Cancel();
-  server_.AskToClose(false);
+  server_.SetCloseAfterResponse(false);
 }
 
 void Lifecycle::Shutdown() {
@@ -138,7 +138,7 @@
   config_manager_.StopUpdates();
   members_.Leave(peer_process_.Alive());
   StartDraining();
-  server_.AskToClose(true);  // at once, since a shutdown is final
+  server_.SetCloseAfterResponse(true);  // at once, since a shutdown is final
   // The peer process accepts the connections that wait.
   if (inherited_listener_) server_.StopAccepting();
   ScheduleEnd();
@@ -168,7 +168,7 @@
   if (!process_.IsShuttingDown() || Clock::now() < *process_.shutdown_began_at + Seconds(kLateArrivalS))
     return;
   server_.CloseIdle();
-  if (requests_.unanswered() == 0 && server_.Quiet()) io_.stop();
+  if (requests_.unanswered() == 0 && server_.HasNoConnections()) io_.stop();
 }
 
 }  // namespace lemonchute::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -52,7 +52,7 @@
 constexpr auto kListenRetryInterval = std::chrono::milliseconds(50);
 
 // A resource that this machine lacks, or an address that another process still holds.
-bool IsTransient(int error) { return IsShortage(error) || error == EADDRINUSE; }
+bool IsTransient(int error) { return IsResourceShortage(error) || error == EADDRINUSE; }
 
 void TryListen(tcp::acceptor& acceptor, const tcp::endpoint& address, int backlog) {
   acceptor.open(address.protocol());
@@ -132,7 +132,7 @@
   });
 }
 
-bool Listener::Waiting() {
+bool Listener::HasPendingConnection() {
   if (!acceptor_.is_open()) return false;
   pollfd queue{acceptor_.native_handle(), POLLIN, 0};
   return poll(&queue, 1, 0) != 0;
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -32,7 +32,7 @@
 
   bool is_open() const { return acceptor_.is_open(); }
   /// Whether a connection waits to be accepted.
-  bool Waiting();
+  bool HasPendingConnection();
   tcp::endpoint local() const { return local_; }
 
  private:
--- a/src/net/members.cpp
+++ b/src/net/members.cpp
@@ -315,8 +315,8 @@
   std::string_view query = path.size() < target.size() ? target.substr(path.size() + 1) : std::string_view();
   size_t from = 0, most = kMaxPageMembers;
   for (auto [name, value] : {std::pair{"from", &from}, std::pair{"most", &most}}) {
-    auto text = Part(query, '&', name);
-    if (text && !Number(*text, value))
+    auto text = FindValue(query, '&', name);
+    if (text && !ParseNumber(*text, value))
       return AdminResponse{400, std::string(name) + " must be a whole number\n"};
   }
   return AdminResponse{200, List(from, std::min(most, kMaxPageMembers)), "application/json"};
--- a/src/net/metrics.cpp
+++ b/src/net/metrics.cpp
@@ -4,7 +4,7 @@
 
 namespace lemonchute::net {
 
-Metrics::ClassCountsByName Metrics::WithNames(const std::vector<std::string>& names) const {
+Metrics::ClassCountsByName Metrics::CountsForClasses(const std::vector<std::string>& names) const {
   ClassCountsByName counts = classes;
   std::map<uint64_t, std::string> removed;  // by removal order
   uint64_t last_removal = 0;
@@ -43,7 +43,7 @@
     write(std::string("violations.") + Name(invariant), metrics.invariants.violations(invariant));
   }
   write("clock_steps", metrics.clock_steps);
-  write("tries", metrics.tries);
+  write("tries", metrics.requests_written);
 }
 
 }  // namespace lemonchute::net
--- a/src/net/metrics.h
+++ b/src/net/metrics.h
@@ -26,7 +26,7 @@
   using ClassCountsByName = std::map<std::string, ClassCounts>;
 
   ClassCountsByName classes;
-  uint64_t tries = 0;                                                         // requests written completely
+  uint64_t requests_written = 0;                                              // requests written completely
   uint64_t clock_steps = 0;                                                   // of the wall clock
   CountsBy<policy::AttemptResult, policy::AttemptResult::kNotSent> attempts;  // by how they ended
   CountsBy<policy::AttemptResult, policy::AttemptResult::kNotSent> retried;   // by the end of the one before
@@ -41,7 +41,7 @@
   /// @param names the classes of new settings; an empty name is none.
   /// @return the counts under these settings. Removed classes keep theirs, except for those removed longest
   ///     ago where there are more than kMaxRemovedClasses.
-  ClassCountsByName WithNames(const std::vector<std::string>& names) const;
+  ClassCountsByName CountsForClasses(const std::vector<std::string>& names) const;
 };
 
 /// Writes all metrics in the order of the admin endpoint's page.
--- a/src/net/reconfiguration.cpp
+++ b/src/net/reconfiguration.cpp
@@ -11,7 +11,7 @@
   Merged merged = MergeSettings(*parts_.config, ParseConfig(document), balancer.IndicesInUse());
   auto change = std::make_shared<PreparedChange>();
   change->settings = balancer.PrepareSettings(merged.config.settings, merged.renewed);
-  change->classes = parts_.metrics.WithNames(merged.config.site.classes);
+  change->classes = parts_.metrics.CountsForClasses(merged.config.site.classes);
   change->config = std::make_shared<const Config>(std::move(merged.config));
   change->counter = parts_.counter.Prepare(*change->config);
   return [this, change] { Commit(*change); };
--- a/src/net/request_lifecycle.cpp
+++ b/src/net/request_lifecycle.cpp
@@ -50,13 +50,13 @@
 
 void RequestLifecycle::OnClientRequest(uint64_t connection, ClientMessage message,
                                        const std::optional<Upload>& upload) {
-  std::string_view target = OriginForm(View(message.target()));
+  std::string_view target = OriginForm(ToStringView(message.target()));
   if (target.substr(0, 3) == "/-/") return RespondToHealthCheck(connection, target);
   ClientCall call = ReadCall(message, *config_);
   if (call.status != 0) {
-    Answer answer;
-    answer.status = call.status;
-    return server_.Reply(connection, std::move(answer));
+    ClientResponse response;
+    response.status = call.status;
+    return server_.Reply(connection, std::move(response));
   }
   RequestTimeLimits limits =
       ComputeTimeLimits(call.timeout_s, message, upload, process_.RemainingLifetimeS());
@@ -85,9 +85,9 @@
 
 void RequestLifecycle::RespondToHealthCheck(uint64_t connection, std::string_view target) {
   int ready_status = process_.IsReady() ? kStatusOk : kStatusUnavailable;
-  Answer answer;
-  answer.status = target == "/-/ready" ? ready_status : kStatusNotFound;
-  server_.Reply(connection, std::move(answer));
+  ClientResponse response;
+  response.status = target == "/-/ready" ? ready_status : kStatusNotFound;
+  server_.Reply(connection, std::move(response));
 }
 
 void RequestLifecycle::SendAttempt(const policy::Action& action) {
@@ -148,7 +148,7 @@
   SendFacts facts;
   facts.idempotency = request.idempotency;
   facts.answered = request.answered || request.streaming_attempt.has_value();
-  facts.client_present = server_.ClientPresent(request.connection);
+  facts.client_connected = server_.IsClientConnected(request.connection);
   facts.body_buffered = !request.body_discarded;
   facts.hedging_allowed = settings.hedging_allowed;
   for (size_t i = 0; i < request.attempts.size(); ++i)
@@ -162,13 +162,14 @@
             attempt, Name(verdict));
   if (verdict == SendVerdict::kSend) return verdict;
   metrics_.held_back.Add(verdict);
-  if (verdict == SendVerdict::kUnsafeRepeat || verdict == SendVerdict::kOtherOut) {
-    metrics_.invariants.Violated(Invariant::kSafeRepeat, "request=" + request.request_id + " attempt=" +
-                                                             std::to_string(attempt) + " " + Name(verdict));
+  if (verdict == SendVerdict::kUnsafeRepeat || verdict == SendVerdict::kOtherInFlight) {
+    metrics_.invariants.RecordViolation(
+        Invariant::kSafeRepeat,
+        "request=" + request.request_id + " attempt=" + std::to_string(attempt) + " " + Name(verdict));
   }
   // Posted, since the caller may be in the middle of the actions of an event.
   if (verdict == SendVerdict::kClientGone)
-    asio::post(io_, [this, connection = request.connection] { server_.ClientLeft(connection); });
+    asio::post(io_, [this, connection = request.connection] { server_.CloseDisconnected(connection); });
   return verdict;
 }
 
@@ -244,11 +245,11 @@
   bool good = end.result == AttemptResult::kOk;
   bool ends_stream = end.streamed && request->streaming_attempt == attempt;
   if ((ends_stream || (good && !request->streaming_attempt)) && !request->answered) {
-    Answer answer;
-    answer.status = good ? kStatusOk : kStatusBadGateway;
-    answer.headers = std::move(end.headers);
-    answer.body = std::move(end.body);
-    Respond(id, std::move(answer));
+    ClientResponse response;
+    response.status = good ? kStatusOk : kStatusBadGateway;
+    response.headers = std::move(end.headers);
+    response.body = std::move(end.body);
+    Respond(id, std::move(response));
   }
   ReportOutcome(id, attempt, backend, end);
   on_attempt_end_();
@@ -279,29 +280,30 @@
     log_.Note(request->request_id, "refused", "reason=%s stay_away_s=%.3f", Name(action.reason),
               action.duration_s);
   }
-  Answer answer;
-  answer.status = action.duration_s > 0 ? kStatusTooManyRequests : kStatusUnavailable;
-  answer.retry_after_s = action.duration_s;
-  Respond(action.request_id, std::move(answer));
+  ClientResponse response;
+  response.status = action.duration_s > 0 ? kStatusTooManyRequests : kStatusUnavailable;
+  response.retry_after_s = action.duration_s;
+  Respond(action.request_id, std::move(response));
 }
 
 void RequestLifecycle::Fail(uint32_t id) {
-  Answer answer;
-  answer.status = kStatusBadGateway;
-  Respond(id, std::move(answer));
+  ClientResponse response;
+  response.status = kStatusBadGateway;
+  Respond(id, std::move(response));
 }
 
 // The only response of the request. The request stays until the ends of its attempts are reported.
-void RequestLifecycle::Respond(uint32_t id, Answer answer) {
+void RequestLifecycle::Respond(uint32_t id, ClientResponse response) {
   InFlightRequest* found = Find(id);
   if (found == nullptr || found->answered) return;
   InFlightRequest& request = *found;
   request.answered = true;
   double past_deadline_s = std::chrono::duration<double>(Clock::now() - request.deadline).count();
-  log_.Note(request.request_id, "answered", "status=%d past_deadline_s=%.4f", answer.status, past_deadline_s);
-  CountResponse(request, answer.status);
+  log_.Note(request.request_id, "answered", "status=%d past_deadline_s=%.4f", response.status,
+            past_deadline_s);
+  CountResponse(request, response.status);
   unanswered_by_connection_.erase(request.connection);
-  server_.Reply(request.connection, std::move(answer));
+  server_.Reply(request.connection, std::move(response));
   CancelRequest(id);
   EraseIfFinished(id);
 }
@@ -309,7 +311,7 @@
 void RequestLifecycle::CountResponse(const InFlightRequest& request, int status) {
   bool in_time = Clock::now() <= request.client_deadline + Seconds(kResponseGraceS);
   if (!request.streaming_attempt && !in_time)
-    metrics_.invariants.Violated(Invariant::kAnsweredInTime, "request=" + request.request_id);
+    metrics_.invariants.RecordViolation(Invariant::kAnsweredInTime, "request=" + request.request_id);
   Metrics::ClassCounts& count = metrics_.classes[request.class_name];
   bool shed = status == kStatusTooManyRequests || status == kStatusUnavailable;
   ++(status == kStatusOk ? count.ok : shed ? count.shed : count.errors);
@@ -343,10 +345,10 @@
 void RequestLifecycle::FailWithTimeout(uint32_t id) {
   const InFlightRequest& request = in_flight_.at(id);
   bool without_effect = !request.may_have_run && !request.HasAttemptInFlight();
-  Answer answer;
-  answer.status = request.idempotency == Idempotency::kIdempotent || without_effect ? kStatusUnavailable
-                                                                                    : kStatusGatewayTimeout;
-  Respond(id, std::move(answer));
+  ClientResponse response;
+  response.status = request.idempotency == Idempotency::kIdempotent || without_effect ? kStatusUnavailable
+                                                                                      : kStatusGatewayTimeout;
+  Respond(id, std::move(response));
   ReportClientGone(id);
 }
 
@@ -366,8 +368,8 @@
   log_.Note(request.request_id, "closed", "connection=%llu reason=%s",
             static_cast<unsigned long long>(connection), Name(reason));
   if (!ClosedByClient(reason)) {
-    metrics_.invariants.Violated(Invariant::kAnsweredBeforeClose,
-                                 "request=" + request.request_id + " reason=" + Name(reason));
+    metrics_.invariants.RecordViolation(Invariant::kAnsweredBeforeClose,
+                                        "request=" + request.request_id + " reason=" + Name(reason));
   }
   request.answered = true;
   CancelRequest(id);
--- a/src/net/request_lifecycle.h
+++ b/src/net/request_lifecycle.h
@@ -84,7 +84,7 @@
   void OnAttemptEnd(uint32_t id, int attempt, uint32_t backend, AttemptEnd end);
   void ReportOutcome(uint32_t id, int attempt, uint32_t backend, const AttemptEnd& end);
 
-  void Respond(uint32_t id, Answer answer);
+  void Respond(uint32_t id, ClientResponse response);
   void CountResponse(const InFlightRequest& request, int status);
   void FailWithTimeout(uint32_t id);
   void ReportClientGone(uint32_t id);
--- a/src/net/response_text.cpp
+++ b/src/net/response_text.cpp
@@ -31,17 +31,17 @@
   return version < 11 ? "Connection: keep-alive\r\n" : "";
 }
 
-void AppendResponse(const Answer& answer, const char* connection_header, std::string* out) {
-  out->reserve(out->size() + answer.headers.size() + answer.body.size() + kHeaderReserve);
+void AppendResponse(const ClientResponse& response, const char* connection_header, std::string* out) {
+  out->reserve(out->size() + response.headers.size() + response.body.size() + kHeaderReserve);
   char line[96];
-  int length = std::snprintf(line, sizeof(line), "HTTP/1.1 %d %s\r\nContent-Length: %zu\r\n", answer.status,
-                             ReasonPhrase(answer.status), answer.body.size());
+  int length = std::snprintf(line, sizeof(line), "HTTP/1.1 %d %s\r\nContent-Length: %zu\r\n", response.status,
+                             ReasonPhrase(response.status), response.body.size());
   out->append(line, static_cast<size_t>(length));
-  if (answer.retry_after_s > 0) {
-    length = std::snprintf(line, sizeof(line), "Retry-After: %.3f\r\n", answer.retry_after_s);
+  if (response.retry_after_s > 0) {
+    length = std::snprintf(line, sizeof(line), "Retry-After: %.3f\r\n", response.retry_after_s);
     out->append(line, static_cast<size_t>(length));
   }
-  out->append(answer.headers).append(connection_header).append("\r\n").append(answer.body);
+  out->append(response.headers).append(connection_header).append("\r\n").append(response.body);
 }
 
 }  // namespace lemonchute::net
--- a/src/net/response_text.h
+++ b/src/net/response_text.h
@@ -7,7 +7,7 @@
 namespace lemonchute::net {
 
 /// A complete response.
-struct Answer {
+struct ClientResponse {
   int status = 500;
   double retry_after_s = 0;  ///< Value of Retry-After; 0: none.
   std::string headers;       ///< Further header lines.
@@ -19,7 +19,7 @@
 const char* ConnectionHeader(unsigned version, bool keep_alive);
 
 /// Appends the response to `out`.
-void AppendResponse(const Answer& answer, const char* connection_header, std::string* out);
+void AppendResponse(const ClientResponse& response, const char* connection_header, std::string* out);
 
 }  // namespace lemonchute::net
 
--- a/src/net/send_guard.h
+++ b/src/net/send_guard.h
@@ -14,7 +14,7 @@
 struct SendFacts {
   policy::Idempotency idempotency = policy::Idempotency::kIdempotent;
   bool answered = false;         // the request has its response, or the response has begun
-  bool client_present = true;    // the client has not closed the connection
+  bool client_connected = true;  // the client has not closed the connection
   bool body_buffered = true;     // no part of the body was discarded
   bool other_in_flight = false;  // another attempt of the request is in flight
   bool hedging_allowed = false;  // the settings allow several attempts at a time
@@ -28,10 +28,10 @@
   kSend,
   kAnswered,
   kClientGone,
-  kTimeOver,
-  kBodyGone,
+  kDeadlinePassed,
+  kBodyDiscarded,
   kTooManyAttempts,
-  kOtherOut,
+  kOtherInFlight,
   kUnsafeRepeat,
 };
 
@@ -40,12 +40,12 @@
 inline SendVerdict CheckSend(const SendFacts& facts) {
   using policy::Idempotency;
   if (facts.answered) return SendVerdict::kAnswered;
-  if (!facts.client_present) return SendVerdict::kClientGone;
-  if (facts.now >= facts.deadline) return SendVerdict::kTimeOver;
-  if (!facts.body_buffered) return SendVerdict::kBodyGone;
+  if (!facts.client_connected) return SendVerdict::kClientGone;
+  if (facts.now >= facts.deadline) return SendVerdict::kDeadlinePassed;
+  if (!facts.body_buffered) return SendVerdict::kBodyDiscarded;
   if (!facts.attempts_left) return SendVerdict::kTooManyAttempts;
   if (facts.other_in_flight && (!facts.hedging_allowed || facts.idempotency != Idempotency::kIdempotent))
-    return SendVerdict::kOtherOut;
+    return SendVerdict::kOtherInFlight;
   if (facts.may_have_run && facts.idempotency == Idempotency::kNonIdempotent)
     return SendVerdict::kUnsafeRepeat;
   return SendVerdict::kSend;
@@ -57,10 +57,10 @@
     case SendVerdict::kSend: return "sent";
     case SendVerdict::kAnswered: return "answered";
     case SendVerdict::kClientGone: return "client_gone";
-    case SendVerdict::kTimeOver: return "time_over";
-    case SendVerdict::kBodyGone: return "body_gone";
+    case SendVerdict::kDeadlinePassed: return "time_over";
+    case SendVerdict::kBodyDiscarded: return "body_gone";
     case SendVerdict::kTooManyAttempts: return "too_many_attempts";
-    case SendVerdict::kOtherOut: return "other_out";
+    case SendVerdict::kOtherInFlight: return "other_out";
     case SendVerdict::kUnsafeRepeat: return "unsafe_repeat";
   }
   return "unknown";
--- a/src/net/socket_io.h
+++ b/src/net/socket_io.h
@@ -18,7 +18,7 @@
 
 /// Whether socket, bind or connect has failed for lack of a resource of this machine and not because of the
 /// peer (socket(2), connect(2)). Such a failure may pass within moments.
-inline bool IsShortage(int error) {
+inline bool IsResourceShortage(int error) {
   switch (error) {
     case EADDRNOTAVAIL:
     case EAGAIN:
@@ -35,7 +35,7 @@
 
 /// Repeats `call(error)` while a signal interrupts it.
 template <typename Call>
-auto Uninterrupted(error_code& error, Call call) {
+auto RetryOnInterrupt(error_code& error, Call call) {
   for (;;) {
     error = {};
     auto result = call(error);
@@ -49,7 +49,7 @@
   size_t sent = 0;
   error = {};
   while (sent < bytes.size() && !error) {
-    sent += Uninterrupted(error, [&](error_code& failed) {
+    sent += RetryOnInterrupt(error, [&](error_code& failed) {
       return socket.send(asio::buffer(bytes.data() + sent, bytes.size() - sent), 0, failed);
     });
   }
@@ -92,20 +92,20 @@
 /// @return 1 if there is one, otherwise 0 with `error` set: would_block, eof or a failure
 inline size_t PeekByte(tcp::socket& socket, error_code& error) {
   char byte;
-  return Uninterrupted(error, [&](error_code& failed) {
+  return RetryOnInterrupt(error, [&](error_code& failed) {
     return socket.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, failed);
   });
 }
 
 /// Whether the peer has closed an idle connection or sent unsolicited bytes.
-inline bool Stale(tcp::socket& socket) {
+inline bool IsStale(tcp::socket& socket) {
   error_code error;
   PeekByte(socket, error);
   return error != asio::error::would_block;
 }
 
 /// Makes the socket non-blocking and disables Nagle's algorithm.
-inline error_code Prepare(tcp::socket& socket) {
+inline error_code ConfigureSocket(tcp::socket& socket) {
   error_code error;
   socket.non_blocking(true, error);
   if (!error) socket.set_option(tcp::no_delay(true), error);
@@ -113,10 +113,10 @@
 }
 
 /// Opens and prepares a socket of the address's family.
-inline error_code Open(tcp::socket& socket, const tcp::endpoint& address) {
+inline error_code OpenSocket(tcp::socket& socket, const tcp::endpoint& address) {
   error_code error;
   socket.open(address.protocol(), error);
-  return error ? error : Prepare(socket);
+  return error ? error : ConfigureSocket(socket);
 }
 
 /// Closes the socket and ignores errors.
--- a/src/net/text.h
+++ b/src/net/text.h
@@ -12,7 +12,7 @@
 namespace lemonchute::net {
 
 template <typename T>
-bool Number(std::string_view text, T* value, int base = 10) {
+bool ParseNumber(std::string_view text, T* value, int base = 10) {
   if (text.empty()) return false;
   std::from_chars_result result{};
   if constexpr (std::is_floating_point_v<T>) {
@@ -30,7 +30,7 @@
 }
 
 // The value of `name` in a list of name=value parts.
-inline std::optional<std::string_view> Part(std::string_view list, char between, std::string_view name) {
+inline std::optional<std::string_view> FindValue(std::string_view list, char between, std::string_view name) {
   while (!list.empty()) {
     size_t end = std::min(list.find(between), list.size());
     std::string_view part = Trim(list.substr(0, end));
@@ -44,11 +44,11 @@
 }
 
 // %41 is A; a malformed escape stays as it is.
-inline std::string Unescaped(std::string_view text) {
+inline std::string PercentDecode(std::string_view text) {
   std::string out;
   for (size_t i = 0; i < text.size(); ++i) {
     unsigned code = 0;
-    if (text[i] == '%' && i + 2 < text.size() && Number(text.substr(i + 1, 2), &code, 16)) {
+    if (text[i] == '%' && i + 2 < text.size() && ParseNumber(text.substr(i + 1, 2), &code, 16)) {
       out += static_cast<char>(code);
       i += 2;
     } else {
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -465,7 +465,7 @@
   lemonchute::net::Metrics counters;
   Backend backend(Says(Ok("x")));
   lemonchute::net::BackendPool pool(io, 30, 1, kGraceS, 8, &counters);
-  pool.SetBudget(1 << 20);
+  pool.SetBufferBudget(1 << 20);
   pool.Update(1, {boost::asio::ip::make_address("127.0.0.1"), static_cast<unsigned short>(backend.port())});
   pool.Drain(1);
   std::this_thread::sleep_for(std::chrono::milliseconds(350));  // 0.15 s before the end of the grace
@@ -507,7 +507,7 @@
   boost::asio::io_context io(1);
   lemonchute::net::Metrics counters;
   lemonchute::net::BackendPool pool(io, 30, 1, 1, 16, &counters);
-  pool.SetBudget(1 << 20);
+  pool.SetBufferBudget(1 << 20);
   Backend backend([](const Message& m, Wire& wire) {
     bool first = m.head.find("/one") != std::string::npos;
     if (!first) return Ok("two");
--- a/tests/system_fault_test.cpp
+++ b/tests/system_fault_test.cpp
@@ -131,17 +131,17 @@
   };
   EXPECT_EQ(CheckSend(sound), SendVerdict::kSend);
   EXPECT_EQ(with([](SendFacts& f) { f.answered = true; }), SendVerdict::kAnswered);
-  EXPECT_EQ(with([](SendFacts& f) { f.client_present = false; }), SendVerdict::kClientGone);
-  EXPECT_EQ(with([](SendFacts& f) { f.now = f.deadline; }), SendVerdict::kTimeOver);
-  EXPECT_EQ(with([](SendFacts& f) { f.body_buffered = false; }), SendVerdict::kBodyGone);
+  EXPECT_EQ(with([](SendFacts& f) { f.client_connected = false; }), SendVerdict::kClientGone);
+  EXPECT_EQ(with([](SendFacts& f) { f.now = f.deadline; }), SendVerdict::kDeadlinePassed);
+  EXPECT_EQ(with([](SendFacts& f) { f.body_buffered = false; }), SendVerdict::kBodyDiscarded);
   EXPECT_EQ(with([](SendFacts& f) { f.attempts_left = false; }), SendVerdict::kTooManyAttempts);
-  EXPECT_EQ(with([](SendFacts& f) { f.other_in_flight = true; }), SendVerdict::kOtherOut);
+  EXPECT_EQ(with([](SendFacts& f) { f.other_in_flight = true; }), SendVerdict::kOtherInFlight);
   EXPECT_EQ(with([](SendFacts& f) { f.other_in_flight = f.hedging_allowed = true; }), SendVerdict::kSend);
   for (Idempotency idempotency : {Idempotency::kWithinWindow, Idempotency::kNonIdempotent})
     EXPECT_EQ(with([&](SendFacts& f) {
                 f.other_in_flight = f.hedging_allowed = true, f.idempotency = idempotency;
               }),
-              SendVerdict::kOtherOut);
+              SendVerdict::kOtherInFlight);
   EXPECT_EQ(with([](SendFacts& f) { f.may_have_run = true, f.idempotency = Idempotency::kNonIdempotent; }),
             SendVerdict::kUnsafeRepeat);
   EXPECT_EQ(with([](SendFacts& f) { f.may_have_run = true, f.idempotency = Idempotency::kWithinWindow; }),
