--- a/lab/tests/cuts.cmake
+++ b/lab/tests/cuts.cmake
@@ -42,7 +42,7 @@
         "action.counter_delta = 2 * call.delta;")
 # In the network code.
 lab_cut(copies net/request_lifecycle.cpp "  request.attempts.back().pool_attempt = pool_.Send("
-        "  for (int i = 0; i < 3; ++i) pool_.Send(backend, AttemptMessage(message), {patience_s, 0}, [](AttemptEnd) {}, {});
+        "  for (int i = 0; i < 3; ++i) pool_.Send(backend, AttemptMessage(message), {timeout_s, 0}, [](AttemptEnd) {}, {});
   request.attempts.back().pool_attempt = pool_.Send(")
 lab_cut(late net/request_lifecycle.cpp "  Respond(action.request_id, std::move(response));"
         "  auto late = std::make_shared<asio::steady_timer>(io_, std::chrono::seconds(9));
--- a/src/net/attempt.h
+++ b/src/net/attempt.h
@@ -23,12 +23,12 @@
 struct AttemptEnd {
   policy::AttemptResult result = policy::AttemptResult::kOk;
   bool streamed = false;  ///< Header and body were delivered through AttemptStream and are not here.
-  double took_s = 0;      ///< Time from BackendPool::Send to the end of the attempt.
-  /// The part of `took_s` that the backend does not account for: until the last byte of a streamed request,
-  /// or until a connect could be issued.
+  double duration_s = 0;  ///< Time from BackendPool::Send to the end of the attempt.
+  /// The part of `duration_s` that the backend does not account for: until the last byte of a streamed
+  /// request, or until a connect could be issued.
   double upload_s = 0;
-  double true_units = 0;  ///< Cost reported by the backend; 0 if none was.
-  std::string headers;    ///< End-to-end header lines of a 200 response.
+  double actual_units = 0;  ///< Cost reported by the backend; 0 if none was.
+  std::string headers;      ///< End-to-end header lines of a 200 response.
   std::string body;
 };
 
@@ -38,12 +38,12 @@
   /// @param headers its end-to-end header lines
   /// @param length its body's length in bytes, if known
   /// @return false if the response has no receiver any more; the attempt then ends as cancelled
-  std::function<bool(std::string headers, std::optional<uint64_t> length)> begin;
-  /// The next piece of the response's body. The following piece is delivered only after `taken` was called,
-  /// within this call or later.
-  std::function<void(std::string piece, std::function<void()> taken)> piece;
+  std::function<bool(std::string headers, std::optional<uint64_t> length)> on_begin;
+  /// The next piece of the response's body. The following piece is delivered only after `on_consumed` was
+  /// called, within this call or later.
+  std::function<void(std::string piece, std::function<void()> on_consumed)> on_piece;
   /// Set if the message holds only the beginning of the request: asks for the following bytes of it.
-  std::function<void(std::function<void(std::string bytes, bool last)>)> more;
+  std::function<void(std::function<void(std::string bytes, bool last)>)> request_more;
 };
 
 /// The buffered bytes of a request.
@@ -51,16 +51,16 @@
   std::string text;
   /// Offset in `text` at which the remaining time in milliseconds is inserted when the message is written,
   /// since connecting may take time; npos: nowhere.
-  size_t timeout_at = std::string::npos;
-  double most_timeout_s = 0;  ///< Upper bound of the inserted time: the client's own timeout.
+  size_t timeout_offset = std::string::npos;
+  double max_timeout_s = 0;  ///< Upper bound of the inserted time: the client's own timeout.
   /// Called immediately before the first byte is written. False ends the attempt as kNotSent.
-  std::function<bool()> permit = {};
+  std::function<bool()> may_send = {};
 };
 
 /// Time limits of one attempt, counted from BackendPool::Send.
 struct AttemptLimits {
-  double patience_s = 0;  ///< Until the attempt times out.
-  double begin_s = 0;     ///< Until the first byte must be written; 0: no limit but `patience_s`.
+  double timeout_s = 0;       ///< Until the attempt times out.
+  double start_within_s = 0;  ///< Until the first byte must be written; 0: no limit but `timeout_s`.
 };
 
 }  // namespace lemonchute::net
--- a/src/net/backend_connection.cpp
+++ b/src/net/backend_connection.cpp
@@ -78,20 +78,21 @@
   written_ = false;
   attempt_ = attempt;
   message_ = std::move(message.text);
-  timeout_offset_ = message.timeout_at;
-  max_timeout_s_ = message.most_timeout_s;
-  send_permit_ = std::move(message.permit);
+  timeout_offset_ = message.timeout_offset;
+  max_timeout_s_ = message.max_timeout_s;
+  may_send_ = std::move(message.may_send);
   done_ = std::move(done);
   stream_ = std::move(stream);
   streaming_response_ = awaiting_consumer_ = awaiting_upload_ = false;
   delivered_bytes_ = 0;
   upload_s_ = connect_wait_s_ = 0;
-  streamed_request_ = stream_.more != nullptr;
+  streamed_request_ = stream_.request_more != nullptr;
   body_.clear();
   started_at_ = Clock::now();
-  deadline_ = started_at_ + Seconds(std::max(0.0, limits.patience_s));
-  send_deadline_ =
-      limits.begin_s > 0 ? std::min(deadline_, started_at_ + Seconds(limits.begin_s)) : deadline_;
+  deadline_ = started_at_ + Seconds(std::max(0.0, limits.timeout_s));
+  send_deadline_ = limits.start_within_s > 0
+                       ? std::min(deadline_, started_at_ + Seconds(limits.start_within_s))
+                       : deadline_;
   ResetParser(&parser_, kMaxStreamedBytes);
   if (open_) {
     OnConnected();
@@ -126,7 +127,7 @@
 
 void BackendConnection::RemoveAndClose() {
   auto self = shared_from_this();  // the idle list may hold the last other reference
-  pool_->ForgetIdle(backend_, this);
+  pool_->RemoveIdle(backend_, this);
   CloseSocket();
 }
 
@@ -206,7 +207,7 @@
   // drain's grace has passed, or if the client has left.
   if (Clock::now() >= send_deadline_ || !pool_->IsSendAllowed(backend_))
     return FailUnsent(AttemptResult::kConnectFailed);
-  if (send_permit_ && !send_permit_()) return FailUnsent(AttemptResult::kNotSent);
+  if (may_send_ && !may_send_()) return FailUnsent(AttemptResult::kNotSent);
   last_write_at_ = Clock::now();
   double announced_s = InsertTimeout();
   WaitUntil(streamed_request_ ? std::min(deadline_, last_write_at_ + kStallTimeout) : deadline_);
@@ -244,7 +245,7 @@
   if (!reading_) Read();
   WriteAll(socket_, message_, [self = shared_from_this(), this, current = attempt_](error_code error) {
     if (closed_ || !busy_ || attempt_ != current) return;
-    if (!error && stream_.more) return RequestNextPiece();
+    if (!error && stream_.request_more) return RequestNextPiece();
     if (!error) {
       if (streamed_request_) WaitUntil(deadline_);
       written_ = true;
@@ -261,14 +262,15 @@
 
 void BackendConnection::RequestNextPiece() {
   awaiting_upload_ = true;
-  auto more = stream_.more;  // a copy, because the last piece clears the member during the call
-  more([self = shared_from_this(), this, current = attempt_](std::string bytes, bool last) {
+  auto request_more =
+      stream_.request_more;  // a copy, because the last piece clears the member during the call
+  request_more([self = shared_from_this(), this, current = attempt_](std::string bytes, bool last) {
     if (closed_ || !busy_ || attempt_ != current) return;
     awaiting_upload_ = false;
     last_write_at_ = Clock::now();
     message_ = std::move(bytes);
     if (last) {
-      stream_.more = nullptr;
+      stream_.request_more = nullptr;
       upload_s_ = ElapsedSeconds(started_at_, Clock::now());
     }
     Write();
@@ -366,7 +368,7 @@
   auto length = parser_->content_length();
   last_read_at_ = Clock::now();
   WaitForStream(last_read_at_ + kStallTimeout);
-  return stream_.begin(std::move(headers), length ? std::optional<uint64_t>(*length) : std::nullopt);
+  return stream_.on_begin(std::move(headers), length ? std::optional<uint64_t>(*length) : std::nullopt);
 }
 
 // Reading stops until the client's side has taken the piece, so that at most one piece is buffered.
@@ -374,7 +376,7 @@
   awaiting_consumer_ = delivering_ = true;
   std::string piece = std::exchange(body_, std::string());
   delivered_bytes_ += piece.size();
-  stream_.piece(std::move(piece), [self = shared_from_this(), this, current = attempt_] {
+  stream_.on_piece(std::move(piece), [self = shared_from_this(), this, current = attempt_] {
     if (closed_ || attempt_ != current) return;
     awaiting_consumer_ = false;
     last_read_at_ = Clock::now();
@@ -393,7 +395,7 @@
   bool not_started = ToStringView(response["Not-Started"]) == "1";
   if (status == 200) {
     end.result = AttemptResult::kOk;
-    end.true_units = ParseCostUnits(ToStringView(response["X-Cost-Units"]));
+    end.actual_units = ParseCostUnits(ToStringView(response["X-Cost-Units"]));
     if (!streaming_response_) AppendClientHeaders(response, &end.headers);
     end.body = std::exchange(body_, std::string());
   } else {
@@ -414,13 +416,13 @@
   if (!busy_) return;
   busy_ = false;
   end.upload_s = std::max(upload_s_, connect_wait_s_);
-  end.took_s = ElapsedSeconds(started_at_, Clock::now());
+  end.duration_s = ElapsedSeconds(started_at_, Clock::now());
   pool_->in_flight_.erase(attempt_);
   // The connection is released before the outcome is reported, so that a retry doesn't open a second one.
   if (keep_alive && pool_->KeepIdle(backend_, address_, shared_from_this())) {
     idle_position_ = pool_->idle_order_.insert(pool_->idle_order_.end(), this);
     reusable_at_ = Clock::now() + kReuseDelay;
-    WaitUntil(Clock::now() + pool_->idle_);
+    WaitUntil(Clock::now() + pool_->idle_timeout_);
   } else {
     CloseSocket();
   }
--- a/src/net/backend_connection.h
+++ b/src/net/backend_connection.h
@@ -36,7 +36,7 @@
   bool may_have_run() const { return written_; }
   bool open() const { return open_; }
   /// Whether the pause between two attempts on one connection is over.
-  bool Reusable(Clock::time_point now) const { return now >= reusable_at_; }
+  bool IsReusable(Clock::time_point now) const { return now >= reusable_at_; }
   /// Whether the idle connection can carry another attempt: open on both sides and without unread bytes.
   bool IsUsable() { return open_ && !busy_ && !IsStale(socket_); }
 
@@ -117,7 +117,7 @@
   std::string message_;  // being written
   size_t timeout_offset_ = std::string::npos;
   double max_timeout_s_ = 0;
-  std::function<bool()> send_permit_;
+  std::function<bool()> may_send_;
   bool streamed_request_ = false;  // forwarded piece by piece
   bool awaiting_upload_ = false;   // the next piece was asked for and has not come
   bool written_ = false;           // the last byte is out: from here on the request may have been executed
--- a/src/net/backend_pool.cpp
+++ b/src/net/backend_pool.cpp
@@ -34,7 +34,7 @@
 }
 
 void BackendPool::SetLimits(double idle_s, double connect_timeout_s, double drain_grace_s) {
-  idle_ = Seconds(idle_s > 0 ? idle_s * kIdleTimeoutShare : kDefaultIdleS);
+  idle_timeout_ = Seconds(idle_s > 0 ? idle_s * kIdleTimeoutShare : kDefaultIdleS);
   connect_timeout_ = Seconds(connect_timeout_s);
   drain_grace_ = Seconds(std::max(0.0, drain_grace_s - kDrainGraceMarginS));
 }
@@ -113,7 +113,7 @@
   return true;
 }
 
-void BackendPool::ForgetIdle(uint32_t id, const BackendConnection* connection) {
+void BackendPool::RemoveIdle(uint32_t id, const BackendConnection* connection) {
   Backend* backend = Find(id);
   if (backend == nullptr) return;
   std::erase_if(backend->idle_connections,
@@ -133,7 +133,7 @@
     // Ordered by their last response, so the reusable ones come first. The latest of them is taken.
     auto position = std::partition_point(
         idle.begin(), idle.end(),
-        [now = Clock::now()](const auto& connection) { return connection->Reusable(now); });
+        [now = Clock::now()](const auto& connection) { return connection->IsReusable(now); });
     if (position == idle.begin()) return nullptr;
     std::shared_ptr<BackendConnection> candidate = std::move(*--position);
     idle.erase(position);
@@ -175,7 +175,7 @@
   return true;
 }
 
-bool BackendPool::Withdraw(uint64_t attempt) {
+bool BackendPool::CancelIfConnecting(uint64_t attempt) {
   auto it = in_flight_.find(attempt);
   bool may_have_run = false;
   return it != in_flight_.end() && !it->second->open() && Cancel(attempt, &may_have_run);
--- a/src/net/backend_pool.h
+++ b/src/net/backend_pool.h
@@ -57,7 +57,7 @@
   bool Cancel(uint64_t attempt, bool* may_have_run);
   /// Cancels the attempt if it is still connecting.
   /// @return whether it was cancelled
-  bool Withdraw(uint64_t attempt);
+  bool CancelIfConnecting(uint64_t attempt);
 
   void CloseIdle();
   void SetLimits(double idle_s, double connect_timeout_s, double drain_grace_s);
@@ -87,10 +87,10 @@
   bool IsSendWithinGrace(uint32_t id, Clock::time_point now);
   // Adds the connection to its backend's idle list. False if it can't serve another attempt.
   bool KeepIdle(uint32_t id, const tcp::endpoint& address, std::shared_ptr<BackendConnection> connection);
-  void ForgetIdle(uint32_t id, const BackendConnection* connection);
+  void RemoveIdle(uint32_t id, const BackendConnection* connection);
 
   asio::io_context& io_;
-  Clock::duration idle_, connect_timeout_, drain_grace_;
+  Clock::duration idle_timeout_, connect_timeout_, drain_grace_;
   size_t max_connections_, buffer_budget_bytes_ = 0;
   Metrics* metrics_;
   std::array<char, kMaxPieceBytes> decode_buffer_;  // a parser's output, valid within one call
--- a/src/net/client_call.cpp
+++ b/src/net/client_call.cpp
@@ -38,7 +38,7 @@
 }
 
 // The index of `name` in `names`, -1 if it is not among them.
-int Position(const std::vector<std::string>& names, std::string_view name) {
+int IndexOf(const std::vector<std::string>& names, std::string_view name) {
   if (name.empty()) return -1;
   for (size_t i = 0; i < names.size(); ++i) {
     if (names[i] == name) return static_cast<int>(i);
@@ -79,15 +79,15 @@
   return path == std::string_view::npos ? std::string_view("/") : target.substr(path);
 }
 
-ClientCall ReadCall(const ClientMessage& message, const Config& config) {
+ClientCall ParseCall(const ClientMessage& message, const Config& config) {
   ClientCall call;
   call.status = 400;
   std::string_view target = OriginForm(ToStringView(message.target()));
   if (target.empty() || target.front() != '/') return call;
   policy::Request& request = call.request;
   std::string_view path = target.substr(1, std::min(target.find_first_of("/?#", 1), target.size()) - 1);
-  request.class_index = Position(config.site.classes, config::PlainName(PercentDecode(path)));
-  request.plan_index = Position(config.site.plans, config::PlainName(ToStringView(message["X-Tier"])));
+  request.class_index = IndexOf(config.site.classes, config::PlainName(PercentDecode(path)));
+  request.plan_index = IndexOf(config.site.plans, config::PlainName(ToStringView(message["X-Tier"])));
   if (request.class_index < 0 || request.plan_index < 0) return call;
   if (ToStringView(message["Request-Id"]).empty()) return call;
   if (!ParseCustomer(message, &request.customer_id)) return call;
--- a/src/net/client_call.h
+++ b/src/net/client_call.h
@@ -21,7 +21,7 @@
 };
 
 /// Reads the policy's part of a request from the client's message.
-ClientCall ReadCall(const ClientMessage& message, const Config& config);
+ClientCall ParseCall(const ClientMessage& message, const Config& config);
 
 /// The target of a request without scheme and host.
 std::string_view OriginForm(std::string_view target);
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -75,7 +75,7 @@
   FlushStream();
 }
 
-void ClientConnection::Put(const std::string& piece, std::function<void()> taken) {
+void ClientConnection::SendPiece(const std::string& piece, std::function<void()> on_consumed) {
   if (state_ != State::kStreaming) return;
   if (chunked_) {
     char chunk_size[24];
@@ -84,7 +84,7 @@
   }
   pending_.append(piece);
   if (chunked_) pending_ += "\r\n";
-  on_taken_ = std::move(taken);
+  on_consumed_ = std::move(on_consumed);
   FlushStream();
 }
 
@@ -116,7 +116,7 @@
   state_ = State::kClosed;
   LeaveIdleOrder();
   timer_.Cancel();
-  on_taken_ = nullptr;
+  on_consumed_ = nullptr;
   on_piece_ = nullptr;
   CloseNow(socket_);
   server_->OnConnectionClosed(id_, in_flight, reason);
@@ -127,7 +127,7 @@
 void ClientConnection::Detach() {
   state_ = State::kClosed;
   timer_.Cancel();
-  on_taken_ = nullptr;
+  on_consumed_ = nullptr;
   on_piece_ = nullptr;
   error_code error;
   socket_.shutdown(tcp::socket::shutdown_send, error);
@@ -380,7 +380,7 @@
     timer_.Cancel();
     if (error) return asio::post(server_->io_, [self, this] { Close(CloseReason::kClientEnded); });
     if (!pending_.empty()) return FlushStream();
-    if (auto taken = std::exchange(on_taken_, nullptr)) taken();
+    if (auto on_consumed = std::exchange(on_consumed_, nullptr)) on_consumed();
     FlushStream();
   });
   if (stream_write_pending_) StartWriteTimer();
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -40,8 +40,8 @@
 /// handlers keep it alive until they have run and do nothing once it is closed.
 ///
 /// Order of calls: Start; then for each request that is passed to the server's OnRequest either Reply, or
-/// BeginStream, Put for each piece and Reply. Pull may be called at any time before the end of an upload. The
-/// connection reports its end once, through the server's OnClosed.
+/// BeginStream, SendPiece for each piece and Reply. Pull may be called at any time before the end of an
+/// upload. The connection reports its end once, through the server's OnClosed.
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
  public:
   ClientConnection(ClientServer* server, uint64_t id, tcp::socket socket);
@@ -56,8 +56,8 @@
   void Pull(OnPiece on_piece);
   /// Begins a streamed response; chunked if its length in bytes is not known.
   void BeginStream(const std::string& headers, std::optional<uint64_t> length);
-  /// Sends a piece of the streamed response and calls `taken` when the next one may follow.
-  void Put(const std::string& piece, std::function<void()> taken);
+  /// Sends a piece of the streamed response and calls `on_consumed` when the next one may follow.
+  void SendPiece(const std::string& piece, std::function<void()> on_consumed);
 
   /// Shuts an idle connection down, unless bytes of a request have arrived.
   /// @param linger how long to wait for the client to close as well
@@ -146,7 +146,7 @@
   std::string writing_;         // referred to by the pending write
   std::string pending_;         // of a stream, to be written next
   std::string unsent_interim_;  // rest of an interim response, to be written before the next one
-  std::function<void()> on_taken_;
+  std::function<void()> on_consumed_;
   bool chunked_ = false;
   bool close_delimited_ = false;  // the body ends with the connection
   bool stream_ended_ = false;     // the last piece was added
--- a/src/net/client_server.cpp
+++ b/src/net/client_server.cpp
@@ -86,8 +86,8 @@
   if (auto connection = Find(id)) connection->BeginStream(headers, length);
 }
 
-void ClientServer::Put(uint64_t id, const std::string& piece, std::function<void()> taken) {
-  if (auto connection = Find(id)) connection->Put(piece, std::move(taken));
+void ClientServer::SendPiece(uint64_t id, const std::string& piece, std::function<void()> on_consumed) {
+  if (auto connection = Find(id)) connection->SendPiece(piece, std::move(on_consumed));
 }
 
 bool ClientServer::IsClientConnected(uint64_t id) const {
--- a/src/net/client_server.h
+++ b/src/net/client_server.h
@@ -21,8 +21,8 @@
 
 /// Owns the clients' connections, by id. Calls for a connection that has ended do nothing.
 ///
-/// Order of calls: Listen or Adopt, then Accept. For each request either Reply, or BeginStream, Put for each
-/// piece and Reply; Pull asks for the pieces of an upload meanwhile.
+/// Order of calls: Listen or Adopt, then Accept. For each request either Reply, or BeginStream, SendPiece for
+/// each piece and Reply; Pull asks for the pieces of an upload meanwhile.
 class ClientServer {
  public:
   /// Receives a request, to be answered by one Reply, within this call or later. With an Upload its body has
@@ -55,8 +55,8 @@
   void Pull(uint64_t connection, OnPiece on_piece);
   /// Begins a streamed response; `length` in bytes, if known.
   void BeginStream(uint64_t connection, const std::string& headers, std::optional<uint64_t> length);
-  /// Sends a piece of the streamed response; the next one may follow once `taken` was called.
-  void Put(uint64_t connection, const std::string& piece, std::function<void()> taken);
+  /// Sends a piece of the streamed response; the next one may follow once `on_consumed` was called.
+  void SendPiece(uint64_t connection, const std::string& piece, std::function<void()> on_consumed);
   /// Whether the client has not closed its end, neither read here nor still in the socket's buffer.
   bool IsClientConnected(uint64_t connection) const;
   /// Closes a connection whose client is not present any more.
--- a/src/net/metrics.cpp
+++ b/src/net/metrics.cpp
@@ -31,7 +31,7 @@
     write("errors." + name, count.errors);
   }
   auto write_each = [&](const std::string& prefix, const auto& counts) {
-    counts.Each([&](const char* name, uint64_t count) { write(prefix + "." + name, count); });
+    counts.ForEach([&](const char* name, uint64_t count) { write(prefix + "." + name, count); });
   };
   write_each("attempts", metrics.attempts);
   write_each("retried", metrics.retried);
--- a/src/net/one_shot_timer.h
+++ b/src/net/one_shot_timer.h
@@ -17,8 +17,8 @@
 
   /// Calls handler() once, `after` from now; a start before is cancelled.
   template <typename Handler>
-  void Start(boost::asio::steady_timer::duration after, Handler handler) {
-    timer_.expires_after(after);
+  void Start(boost::asio::steady_timer::duration delay, Handler handler) {
+    timer_.expires_after(delay);
     timer_.async_wait([this, generation = ++generation_,
                        handler = std::move(handler)](boost::system::error_code failed) mutable {
       if (!failed && generation == generation_) handler();
--- a/src/net/reasons.h
+++ b/src/net/reasons.h
@@ -79,7 +79,7 @@
   void Add(Enum value) { ++counts_[static_cast<size_t>(value)]; }
   /// Calls visit(name, count) for each value that occurred.
   template <typename Visit>
-  void Each(Visit visit) const {
+  void ForEach(Visit visit) const {
     for (size_t i = 0; i < counts_.size(); ++i) {
       if (counts_[i] > 0) visit(Name(static_cast<Enum>(i)), counts_[i]);
     }
--- a/src/net/request_lifecycle.cpp
+++ b/src/net/request_lifecycle.cpp
@@ -52,7 +52,7 @@
                                        const std::optional<Upload>& upload) {
   std::string_view target = OriginForm(ToStringView(message.target()));
   if (target.substr(0, 3) == "/-/") return RespondToHealthCheck(connection, target);
-  ClientCall call = ReadCall(message, *config_);
+  ClientCall call = ParseCall(message, *config_);
   if (call.status != 0) {
     ClientResponse response;
     response.status = call.status;
@@ -73,8 +73,8 @@
   // responds by itself (OnResponseDeadline).
   request.deadline = Clock::now() + Seconds(limits.timeout_s - limits.margin_s / 2);
   request.client_deadline = Clock::now() + Seconds(limits.timeout_s);
-  log_.Note(request.request_id, "taken", "connection=%llu class=%s left_s=%.3f",
-            static_cast<unsigned long long>(connection), request.class_name.c_str(), limits.timeout_s);
+  log_.Log(request.request_id, "taken", "connection=%llu class=%s left_s=%.3f",
+           static_cast<unsigned long long>(connection), request.class_name.c_str(), limits.timeout_s);
   call.request.id = id;
   call.request.time_left_s = limits.timeout_s - limits.margin_s;
   timers_.Add(request.deadline, TimerKind::kResponseDeadline, id);
@@ -102,10 +102,10 @@
   request.attempts.back().in_flight = true;
   if (verdict != SendVerdict::kSend) return PostAttemptEnd(id, attempt, backend, AttemptResult::kNotSent);
   double left_s = std::chrono::duration<double>(request.deadline - Clock::now()).count();
-  double patience_s = action.duration_s == 0 ? left_s : std::min(action.duration_s, left_s);
+  double timeout_s = action.duration_s == 0 ? left_s : std::min(action.duration_s, left_s);
   AttemptMessage message = MakeAttemptMessage(id, request, attempt);
   request.attempts.back().pool_attempt = pool_.Send(
-      backend, std::move(message), {patience_s, action.start_within_s},
+      backend, std::move(message), {timeout_s, action.start_within_s},
       [this, id, attempt, backend](AttemptEnd end) { OnAttemptEnd(id, attempt, backend, std::move(end)); },
       MakeAttemptStream(id, request, attempt));
 }
@@ -115,9 +115,9 @@
   AttemptMessage message;
   message.text.reserve(request.head.size() + request.body.size() + kTimeoutHeaderBytes);
   message.text.append(request.head).append("Request-Timeout-Ms: ");
-  message.timeout_at = message.text.size();
-  message.most_timeout_s = request.timeout_s;
-  message.permit = [this, id, attempt] {
+  message.timeout_offset = message.text.size();
+  message.max_timeout_s = request.timeout_s;
+  message.may_send = [this, id, attempt] {
     const InFlightRequest* current = Find(id);
     return current != nullptr && CheckAttempt(*current, attempt, SendCheck::kWriting) == SendVerdict::kSend;
   };
@@ -127,15 +127,15 @@
 
 AttemptStream RequestLifecycle::MakeAttemptStream(uint32_t id, const InFlightRequest& request, int attempt) {
   AttemptStream stream;
-  stream.begin = [this, id, attempt](const std::string& headers, std::optional<uint64_t> length) {
+  stream.on_begin = [this, id, attempt](const std::string& headers, std::optional<uint64_t> length) {
     return OnResponseStarted(id, attempt, headers, length);
   };
-  stream.piece = [this, connection = request.connection](const std::string& piece,
-                                                         std::function<void()> taken) {
-    server_.Put(connection, piece, std::move(taken));
+  stream.on_piece = [this, connection = request.connection](const std::string& piece,
+                                                            std::function<void()> on_consumed) {
+    server_.SendPiece(connection, piece, std::move(on_consumed));
   };
   if (request.body_streamed) {
-    stream.more = [this, id](std::function<void(std::string, bool)> deliver) {
+    stream.request_more = [this, id](std::function<void(std::string, bool)> deliver) {
       PullUpload(id, std::move(deliver));
     };
   }
@@ -158,8 +158,8 @@
   facts.now = Clock::now();
   facts.deadline = request.deadline;
   SendVerdict verdict = CheckSend(facts);
-  log_.Note(request.request_id, when == SendCheck::kDecided ? "attempt" : "write", "attempt=%d verdict=%s",
-            attempt, Name(verdict));
+  log_.Log(request.request_id, when == SendCheck::kDecided ? "attempt" : "write", "attempt=%d verdict=%s",
+           attempt, Name(verdict));
   if (verdict == SendVerdict::kSend) return verdict;
   metrics_.held_back.Add(verdict);
   if (verdict == SendVerdict::kUnsafeRepeat || verdict == SendVerdict::kOtherInFlight) {
@@ -236,8 +236,8 @@
   ended.in_flight = false;
   ended.result = end.result;
   metrics_.attempts.Add(end.result);
-  log_.Note(request->request_id, "ended", "attempt=%d backend=%u result=%s took_s=%.4f", attempt, backend,
-            Name(end.result), end.took_s);
+  log_.Log(request->request_id, "ended", "attempt=%d backend=%u result=%s took_s=%.4f", attempt, backend,
+           Name(end.result), end.duration_s);
   reporting_id_ = id;
   if (policy::MayHaveRun(end.result)) request->may_have_run = true;
   // The first good response goes to the client at once and ends the request: the client waits, the policy
@@ -260,11 +260,11 @@
   AttemptOutcome outcome;
   outcome.request_id = id;
   outcome.attempt_index = attempt;
-  outcome.duration_s = end.took_s;
+  outcome.duration_s = end.duration_s;
   outcome.result = end.result;
   outcome.request_finished = request.answered;
   outcome.backend_id = backend;
-  outcome.actual_units = end.true_units;
+  outcome.actual_units = end.actual_units;
   outcome.upload_s = end.upload_s;
   outcome.body_discarded = request.body_discarded;
   policy_.Dispatch([&](policy::Balancer& balancer, double now_s, policy::Actions* actions) {
@@ -277,8 +277,8 @@
 void RequestLifecycle::Reject(const policy::Action& action) {
   metrics_.refused.Add(action.reason);
   if (const InFlightRequest* request = Find(action.request_id)) {
-    log_.Note(request->request_id, "refused", "reason=%s stay_away_s=%.3f", Name(action.reason),
-              action.duration_s);
+    log_.Log(request->request_id, "refused", "reason=%s stay_away_s=%.3f", Name(action.reason),
+             action.duration_s);
   }
   ClientResponse response;
   response.status = action.duration_s > 0 ? kStatusTooManyRequests : kStatusUnavailable;
@@ -299,8 +299,8 @@
   InFlightRequest& request = *found;
   request.answered = true;
   double past_deadline_s = std::chrono::duration<double>(Clock::now() - request.deadline).count();
-  log_.Note(request.request_id, "answered", "status=%d past_deadline_s=%.4f", response.status,
-            past_deadline_s);
+  log_.Log(request.request_id, "answered", "status=%d past_deadline_s=%.4f", response.status,
+           past_deadline_s);
   CountResponse(request, response.status);
   unanswered_by_connection_.erase(request.connection);
   server_.Reply(request.connection, std::move(response));
@@ -323,7 +323,7 @@
   const InFlightRequest& request = in_flight_.at(id);
   for (size_t i = 0; i < request.attempts.size(); ++i) {
     const InFlightAttempt& attempt = request.attempts[i];
-    if (!attempt.in_flight || !pool_.Withdraw(attempt.pool_attempt)) continue;
+    if (!attempt.in_flight || !pool_.CancelIfConnecting(attempt.pool_attempt)) continue;
     PostAttemptEnd(id, static_cast<int>(i), 0, AttemptResult::kNotSent);
   }
 }
@@ -365,8 +365,8 @@
   uint32_t id = it->second;
   unanswered_by_connection_.erase(it);
   InFlightRequest& request = in_flight_.at(id);
-  log_.Note(request.request_id, "closed", "connection=%llu reason=%s",
-            static_cast<unsigned long long>(connection), Name(reason));
+  log_.Log(request.request_id, "closed", "connection=%llu reason=%s",
+           static_cast<unsigned long long>(connection), Name(reason));
   if (!ClosedByClient(reason)) {
     metrics_.invariants.RecordViolation(Invariant::kAnsweredBeforeClose,
                                         "request=" + request.request_id + " reason=" + Name(reason));
--- a/src/net/request_log.h
+++ b/src/net/request_log.h
@@ -23,7 +23,7 @@
   /// @param state one word.
   /// @param detail key=value pairs, a format of std::printf for `arguments`.
   template <typename... Arguments>
-  void Note(const std::string& request, const char* state, const char* detail, Arguments... arguments) const {
+  void Log(const std::string& request, const char* state, const char* detail, Arguments... arguments) const {
     if (!enabled_) return;
     char text[256];
     std::snprintf(text, sizeof(text), detail, arguments...);
--- a/src/net/text.h
+++ b/src/net/text.h
@@ -30,9 +30,10 @@
 }
 
 // The value of `name` in a list of name=value parts.
-inline std::optional<std::string_view> FindValue(std::string_view list, char between, std::string_view name) {
+inline std::optional<std::string_view> FindValue(std::string_view list, char separator,
+                                                 std::string_view name) {
   while (!list.empty()) {
-    size_t end = std::min(list.find(between), list.size());
+    size_t end = std::min(list.find(separator), list.size());
     std::string_view part = Trim(list.substr(0, end));
     list.remove_prefix(std::min(end + 1, list.size()));
     size_t equals = part.find('=');
--- a/src/net/timer_queue.cpp
+++ b/src/net/timer_queue.cpp
@@ -7,14 +7,14 @@
 TimerQueue::TimerQueue(boost::asio::io_context& io, OnDue on_due, OnBatchEnd on_batch_end)
     : on_due_(std::move(on_due)), on_batch_end_(std::move(on_batch_end)), timer_(io) {}
 
-void TimerQueue::Add(Clock::time_point at, TimerKind kind, uint64_t tag) {
-  timers_.push({at, kind, tag});
-  if (!armed_for_ || at < *armed_for_) Arm();
+void TimerQueue::Add(Clock::time_point due_at, TimerKind kind, uint64_t tag) {
+  timers_.push({due_at, kind, tag});
+  if (!armed_for_ || due_at < *armed_for_) Arm();
 }
 
 void TimerQueue::Arm() {
   if (timers_.empty()) return;
-  armed_for_ = timers_.top().at;
+  armed_for_ = timers_.top().due_at;
   timer_.expires_at(*armed_for_);
   timer_.async_wait([this](boost::system::error_code cancelled) {
     if (!cancelled) RunDueTimers();
@@ -26,7 +26,7 @@
   armed_for_.reset();
   auto now = Clock::now();
   std::vector<Timer> due;
-  while (!timers_.empty() && timers_.top().at <= now) {
+  while (!timers_.empty() && timers_.top().due_at <= now) {
     due.push_back(timers_.top());
     timers_.pop();
   }
--- a/src/net/timer_queue.h
+++ b/src/net/timer_queue.h
@@ -28,14 +28,14 @@
   /// @param on_batch_end called after all timers that were due in one turn of the event loop.
   TimerQueue(boost::asio::io_context& io, OnDue on_due, OnBatchEnd on_batch_end);
 
-  void Add(Clock::time_point at, TimerKind kind, uint64_t tag);
+  void Add(Clock::time_point due_at, TimerKind kind, uint64_t tag);
 
  private:
   struct Timer {
-    Clock::time_point at;
+    Clock::time_point due_at;
     TimerKind kind;
     uint64_t tag;
-    bool operator>(const Timer& other) const { return at > other.at; }
+    bool operator>(const Timer& other) const { return due_at > other.due_at; }
   };
 
   void Arm();
