--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -13,7 +13,7 @@
 using Clock = std::chrono::steady_clock;
 
 std::string List(uint64_t index, const json& entries, bool whole) {
-  return Ok(json{{"index", index}, {"snapshot", whole}, {"endpoints", entries}}.dump(1));  // indented
+  return OkResponse(json{{"index", index}, {"snapshot", whole}, {"endpoints", entries}}.dump(1));  // indented
 }
 
 // A discovery client alone, against an agent that the test plays; ends when `agent` says so.
@@ -45,11 +45,11 @@
   Clock::time_point silent, anew;
   LoneClient* lone = nullptr;
   Event opened;
-  LoneClient run([&](Wire& wire) {
-    for (Message ask = wire.Read(); ask.whole; ask = wire.Read()) {
+  LoneClient run([&](Connection& wire) {
+    for (Message ask = wire.Read(); ask.complete; ask = wire.Read()) {
       if (ask.head.find("after=") == std::string::npos) {
         wire.Write(List(4, json::array(), true));
-      } else if (opened.Add(), opened.count() == 1) {
+      } else if (opened.Notify(), opened.count() == 1) {
         silent = Clock::now();  // open, and nothing more on it
       } else {
         anew = Clock::now();
@@ -68,15 +68,15 @@
   LoneClient* lone = nullptr;
   int watches = 0, whole = 0;
   constexpr int kRefused = 6;
-  LoneClient run([&](Wire& wire) {
-    for (Message ask = wire.Read(); ask.whole; ask = wire.Read()) {
+  LoneClient run([&](Connection& wire) {
+    for (Message ask = wire.Read(); ask.complete; ask = wire.Read()) {
       if (ask.head.find("after=") == std::string::npos) {
         ++whole;
         wire.Write(List(4, json::array(), true));
       } else if (++watches <= kRefused) {
         wire.Write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
       } else if (watches == kRefused + 1) {
-        wire.Ended();  // silent until the client gives it up
+        wire.WaitForClose();  // silent until the client gives it up
         return;
       } else {
         lone->io.stop();
@@ -92,34 +92,35 @@
 // A start goes on from the list that it was given, at once: a whole list and a watch are two calls of each of
 // a fleet's gateways, which discovery may not carry, and until it has turned to the second nobody is told.
 TEST(Watch, AStartGoesOnFromTheKnownList) {
-  Backend old(Says(Ok("old"))), fresh(Says(Ok("fresh")));
+  Backend old(RespondsWith(OkResponse("old"))), fresh(RespondsWith(OkResponse("fresh")));
   Event asked;
   std::vector<std::string> asks;
-  Server agent([&](Wire& wire) {
-    for (Message ask = wire.Read(); ask.whole; ask = wire.Read()) {
+  Server agent([&](Connection& wire) {
+    for (Message ask = wire.Read(); ask.complete; ask = wire.Read()) {
       asks.push_back(ask.head.substr(0, ask.head.find(" HTTP")));
       bool first = asks.size() == 1;
       if (first)
-        wire.Write(
-            List(9, json::array({Entry("a", old.port(), "leaving"), Entry("b", fresh.port())}), false));
-      asked.Add();
+        wire.Write(List(
+            9, json::array({EndpointEntry("a", old.port(), "leaving"), EndpointEntry("b", fresh.port())}),
+            false));
+      asked.Notify();
     }
   });
-  Counter counter([](const std::string&, double) { return Bulk("0"); });
-  json config = Config(agent.port(), counter.port(), json::array({Entry("a", old.port())}));
+  Counter counter([](const std::string&, double) { return BulkString("0"); });
+  json config = DefaultConfig(agent.port(), counter.port(), json::array({EndpointEntry("a", old.port())}));
   config["known"]["index"] = 7;
-  Process gateway(config);
+  GatewayProcess gateway(config);
   ASSERT_TRUE(asked.Wait(2));
   EXPECT_EQ(asks[0], "GET /api/targets?after=7&wait_ms=1");
   EXPECT_EQ(asks[1].substr(0, 24), "GET /api/targets?after=9");
-  EXPECT_EQ(Ask(*gateway.Connect(), Request("quote")).body, "fresh");
+  EXPECT_EQ(SendRequest(*gateway.Connect(), Request("quote")).body, "fresh");
   gateway.Signal(SIGTERM);
-  EXPECT_EQ(gateway.Exit(), 0);  // before its peers go
+  EXPECT_EQ(gateway.WaitForExit(), 0);  // before its peers go
 }
 
 // Other than the site's: what it takes is `path` in the settings.
 json With(std::initializer_list<std::pair<const char*, json>> changes) {
-  json config = Config(0, 0);
+  json config = DefaultConfig(0, 0);
   for (const auto& [path, value] : changes) config["settings"][json::json_pointer(path)] = value;
   return config;
 }
@@ -229,14 +230,14 @@
 TEST(Watch, AMovedDiscoveryIsAskedForWhatHasChanged) {
   LoneClient* lone = nullptr;
   std::vector<std::string> asked;
-  Server moved([&](Wire& wire) {
+  Server moved([&](Connection& wire) {
     Message ask = wire.Read();
     asked.push_back(ask.head.substr(0, ask.head.find(" HTTP")));
     wire.Write(List(5, json::array(), false));
     wire.Read();
     lone->io.stop();
   });
-  LoneClient run([&](Wire& wire) {
+  LoneClient run([&](Connection& wire) {
     wire.Read();
     wire.Write(List(4, json::array(), true));
     wire.Read();  // its watch
@@ -244,7 +245,7 @@
       lone->client.Move(
           {boost::asio::ip::make_address("127.0.0.1"), static_cast<unsigned short>(moved.port())});
     });
-    wire.Ended();
+    wire.WaitForClose();
   });
   lone = &run;
   run.Run();
@@ -257,24 +258,25 @@
 // could reach nobody, and the connection is not reset over it, which would take along what the client has not
 // read.
 TEST(Closing, ARequestBehindTheHalfCloseIsNeitherSentOnNorResetsTheConnection) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}));
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}));
   auto client = site.gateway->Connect();
-  EXPECT_EQ(Ask(*client, Request("quote")).status(), 200);
+  EXPECT_EQ(SendRequest(*client, Request("quote")).status(), 200);
   site.gateway->Signal(SIGTERM);
-  EXPECT_TRUE(client->Ended());
+  EXPECT_TRUE(client->WaitForClose());
   client->Write(Request("quote"));
-  EXPECT_EQ(site.gateway->Exit(), 0);
-  EXPECT_EQ(client->Error(), 0) << "reset";
+  EXPECT_EQ(site.gateway->WaitForExit(), 0);
+  EXPECT_EQ(client->SocketError(), 0) << "reset";
   EXPECT_EQ(backend.requests.count(), 1);
 }
 
 // The platform counts the longest deadline as 3 s where it is longer, and ends the process 0.7 s after that.
 TEST(Closing, WhatIsHeldAtTheEndOfTheProcessGetsItsFinalAnswer) {
   Event given_up;
-  Backend backend(Hangs(&given_up));
+  Backend backend(HangsUntilClosed(&given_up));
   json config = With({{"/request-classes/0/hard-limit-s", 30.0}, {"/request-classes/2/hard-limit-s", 30.0}});
-  Site site(json::array({Entry("s1", backend.port()), Entry("s2", backend.port())}), config);
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port()), EndpointEntry("s2", backend.port())}),
+                      config);
   auto held = site.gateway->Connect(), late = site.gateway->Connect();
   held->Write(Request("send-lead", 1, 30000));
   ASSERT_TRUE(backend.requests.Wait());
@@ -283,28 +285,28 @@
   site.gateway->Signal(SIGTERM);
   auto began = Clock::now();
   auto probe = site.gateway->Connect();
-  while (Ask(*probe, kReady).status() == 200) {
+  while (SendRequest(*probe, kReadinessRequest).status() == 200) {
   }
   late->Write(request.substr(40));
   EXPECT_EQ(held->Read().status(), 504);
   EXPECT_EQ(late->Read().status() / 100, 5);
-  EXPECT_EQ(site.gateway->Exit(), 0);
+  EXPECT_EQ(site.gateway->WaitForExit(), 0);
   EXPECT_LT(Clock::now() - began, std::chrono::seconds(15)) << "not after the deadlines";
 }
 
 // What a client sends while an earlier request of it leaves the buffer is taken as it came.
 TEST(Reading, ARequestThatComesBehindOneSentAheadIsTheOneSentOn) {
   Event go;
-  Backend backend([&](const Message&, Wire&) { return go.Wait(), Ok("x"); });
-  Site site(json::array({Entry("s1", backend.port())}));
+  Backend backend([&](const Message&, Connection&) { return go.Wait(), OkResponse("x"); });
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}));
   auto client = site.gateway->Connect();
   client->Write(Request("quote") + Request("quote"));
   ASSERT_TRUE(backend.requests.Wait());  // the second lies in the buffer, and more is waited for
-  go.Add();
+  go.Notify();
   EXPECT_EQ(client->Read().status(), 200);
   EXPECT_EQ(client->Read().status(), 200);
   std::string third = Request("quote");
-  EXPECT_EQ(Ask(*client, third).status(), 200);
+  EXPECT_EQ(SendRequest(*client, third).status(), 200);
   ASSERT_TRUE(backend.requests.Wait(3));
   Message sent{third.substr(0, third.find("\r\n\r\n") + 2), "", true};
   EXPECT_EQ(backend.request(2).Header("Request-Id"), sent.Header("Request-Id"));
@@ -312,26 +314,27 @@
 
 // The rest of a long body that comes while the part before it is passed on stays as its client sent it.
 TEST(Reading, ALongBodyIsPassedOnAsItsClientSentIt) {
-  LateListener listener;
-  Site site(json::array({Entry("s1", listener.port())}),
-            With({{"/request-classes/2/hard-limit-s", 600.0}, {"/limits/connect-timeout-s", 600.0}}));
+  BlockedListener listener;
+  GatewayFixture site(
+      json::array({EndpointEntry("s1", listener.port())}),
+      With({{"/request-classes/2/hard-limit-s", 600.0}, {"/limits/connect-timeout-s", 600.0}}));
   std::string body;
   for (int i = 0; body.size() < size_t{1} << 17; ++i) body += std::to_string(i) + " ";
   std::string request = Request("send-lead", 1, 600000, "", body);
   size_t head = request.size() - body.size(), before = head + (size_t{24} << 10);  // a piece and a half
   auto client = site.gateway->Connect(), probe = site.gateway->Connect();
   client->Write(request.substr(0, before));
-  ASSERT_TRUE(client->Delivered());
+  ASSERT_TRUE(client->WaitUntilDelivered());
   // Each answer is a turn of the event loop in which what has come is read, a chunk at a time.
-  for (int turn = 0; turn < 32; ++turn) EXPECT_EQ(Ask(*probe, kReady).status(), 200);
-  listener.Free();
-  auto backend = listener.Take();
-  backend->Until("\r\n\r\n");
-  ASSERT_TRUE(backend->Until(before - head));  // all of it has left the buffer, and more is waited for
+  for (int turn = 0; turn < 32; ++turn) EXPECT_EQ(SendRequest(*probe, kReadinessRequest).status(), 200);
+  listener.Unblock();
+  auto backend = listener.Accept();
+  backend->ReadUntil("\r\n\r\n");
+  ASSERT_TRUE(backend->ReadUntil(before - head));  // all of it has left the buffer, and more is waited for
   client->Write(request.substr(before));
-  ASSERT_TRUE(backend->Until(body.size()));
+  ASSERT_TRUE(backend->ReadUntil(body.size()));
   EXPECT_TRUE(backend->unread == body);
-  backend->Write(Ok("x"));
+  backend->Write(OkResponse("x"));
   EXPECT_EQ(client->Read().status(), 200);
 }
 
@@ -339,15 +342,16 @@
 TEST(Closing, AClientThatLeavesBehindWhatItSentAheadIsNoticed) {
   for (size_t ahead : {size_t{1} << 10, size_t{40} << 10, size_t{1} << 20}) {
     Event given_up;
-    Backend backend(Hangs(&given_up));
-    Site site(json::array({Entry("s1", backend.port())}), With({{"/request-classes/0/hard-limit-s", 600.0}}),
-              LEMONCHUTE_GATEWAY, 0, kOps);
+    Backend backend(HangsUntilClosed(&given_up));
+    GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}),
+                        With({{"/request-classes/0/hard-limit-s", 600.0}}), LEMONCHUTE_GATEWAY, 0,
+                        kAdminEnvironment);
     auto client = site.gateway->Connect();
     client->Write(Request("quote", 1, 600000));
     ASSERT_TRUE(backend.requests.Wait());
     client->Write(std::string(ahead, 'x'));
     client->Close();
-    AwaitFigure(site.gateway->ops_port, "active", 0);
+    AwaitMetric(site.gateway->admin_port, "active", 0);
     EXPECT_TRUE(given_up.Wait()) << ahead;
   }
 }
@@ -355,14 +359,14 @@
 // What is sent ahead within bounds is served in its turn; past them the answer says that it is the last.
 TEST(Closing, MoreThanIsKeptOfWhatWasSentAheadEndsTheConnectionWithTheAnswer) {
   Event go;
-  Backend backend([&](const Message&, Wire&) { return go.Wait(), Ok("x"); });
-  Site site(json::array({Entry("s1", backend.port())}));
+  Backend backend([&](const Message&, Connection&) { return go.Wait(), OkResponse("x"); });
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}));
   auto client = site.gateway->Connect();
   client->Write(Request("quote"));
   ASSERT_TRUE(backend.requests.Wait());
   std::thread flood([&] { client->Write(std::string(size_t{8} << 20, 'x')); });  // more than sockets hold
   flood.join();
-  go.Add();
+  go.Notify();
   Message answer = client->Read();
   EXPECT_EQ(answer.status(), 200);
   EXPECT_EQ(answer.Header("Connection"), "close");
@@ -371,64 +375,65 @@
 // An attempt whose connection comes up after its client has left is not made, nor does it wait to be, also
 // where the settings allow no cancels.
 TEST(Attempt, OneThatHasNotConnectedEndsWithItsClient) {
-  LateListener backend;
-  Site site(json::array({Entry("s1", backend.port())}),
-            With({{"/limits/cancel", false}, {"/limits/connect-timeout-s", 60.0}}), LEMONCHUTE_GATEWAY, 0,
-            kOps);
-  int ops = site.gateway->ops_port;
-  AwaitFigure(ops, "active", 0);
+  BlockedListener backend;
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}),
+                      With({{"/limits/cancel", false}, {"/limits/connect-timeout-s", 60.0}}),
+                      LEMONCHUTE_GATEWAY, 0, kAdminEnvironment);
+  int ops = site.gateway->admin_port;
+  AwaitMetric(ops, "active", 0);
   auto client = site.gateway->Connect();
-  EXPECT_EQ(Ask(*client, kReady).status(), 200);
-  size_t before = site.gateway->Descriptors();
+  EXPECT_EQ(SendRequest(*client, kReadinessRequest).status(), 200);
+  size_t before = site.gateway->CountDescriptors();
   client->Write(Request("send-lead"));
-  AwaitFigure(ops, "active", 1);
+  AwaitMetric(ops, "active", 1);
   client->Close();
-  AwaitFigure(ops, "active", 0);
-  for (int i = 0; i < 200 && site.gateway->Descriptors() >= before; ++i) {
+  AwaitMetric(ops, "active", 0);
+  for (int i = 0; i < 200 && site.gateway->CountDescriptors() >= before; ++i) {
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
-  EXPECT_LT(site.gateway->Descriptors(), before);
-  backend.Free();
+  EXPECT_LT(site.gateway->CountDescriptors(), before);
+  backend.Unblock();
   site.gateway->Signal(SIGTERM);
-  EXPECT_EQ(site.gateway->Exit(), 0);
-  EXPECT_EQ(backend.Sent(), "");
+  EXPECT_EQ(site.gateway->WaitForExit(), 0);
+  EXPECT_EQ(backend.ReceivedBytes(), "");
 }
 
 // A backend turns a request away and its client leaves, both while the process stands still: it then finds
 // the answer first, and must not send the request on to the next backend for a client that has gone.
 TEST(Attempt, NoneIsRepeatedForAClientWhoseEndIsStillWithTheSystem) {
-  std::unique_ptr<Wire> client;
-  Process* gateway = nullptr;
+  std::unique_ptr<Connection> client;
+  GatewayProcess* gateway = nullptr;
   Event done;
   std::atomic<int> requests{-1};  // counted from when both backends have a connection that is kept
-  auto turns_away = [&](const Message&, Wire& wire) {
-    if (requests < 0) return Ok("x");
+  auto turns_away = [&](const Message&, Connection& wire) {
+    if (requests < 0) return OkResponse("x");
     if (requests++ > 0) return std::string();
     gateway->Signal(SIGSTOP);
     wire.Write("HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
-    EXPECT_TRUE(wire.Delivered());
+    EXPECT_TRUE(wire.WaitUntilDelivered());
     client->Close();
     std::this_thread::sleep_for(std::chrono::milliseconds(120));  // over what a rule allows
     gateway->Signal(SIGCONT);
-    done.Add();
-    wire.Ended();
+    done.Notify();
+    wire.WaitForClose();
     return std::string();
   };
   Backend one(turns_away), two(turns_away);
-  Site site(json::array({Entry("s1", one.port()), Entry("s2", two.port())}), {}, LEMONCHUTE_GATEWAY, 0, kOps);
+  GatewayFixture site(json::array({EndpointEntry("s1", one.port()), EndpointEntry("s2", two.port())}), {},
+                      LEMONCHUTE_GATEWAY, 0, kAdminEnvironment);
   gateway = site.gateway.get();
   client = gateway->Connect();
   while (one.requests.count() == 0 || two.requests.count() == 0) {
-    ASSERT_EQ(Ask(*client, Fresh("quote")).status(), 200);
+    ASSERT_EQ(SendRequest(*client, RequestOfNewCustomer("quote")).status(), 200);
   }
   std::this_thread::sleep_for(std::chrono::milliseconds(50));  // for both to have rested
   requests = 0;
-  client->Write(Fresh("quote"));
+  client->Write(RequestOfNewCustomer("quote"));
   ASSERT_TRUE(done.Wait());
-  AwaitFigure(gateway->ops_port, "active", 0);
+  AwaitMetric(gateway->admin_port, "active", 0);
   EXPECT_EQ(requests, 1);
-  EXPECT_EQ(Figure(gateway->ops_port, "held_back.client_gone"), 1);
-  EXPECT_EQ(Figure(gateway->ops_port, "closed.client_ended"), 1);
+  EXPECT_EQ(ReadMetric(gateway->admin_port, "held_back.client_gone"), 1);
+  EXPECT_EQ(ReadMetric(gateway->admin_port, "closed.client_ended"), 1);
 }
 
 // What an attempt tells its backend is what is left to the client when it is written, also where its
@@ -436,24 +441,26 @@
 TEST(Attempt, OneOnALateConnectionTellsTheTimeThatIsLeft) {
   constexpr int kTimeoutMs = 20000;
   for (size_t body : {size_t{0}, size_t{100} << 10}) {
-    LateListener listener;
-    Site site(json::array({Entry("s1", listener.port())}),
-              With({{"/request-classes/2/hard-limit-s", 60.0}, {"/limits/connect-timeout-s", 60.0}}),
-              LEMONCHUTE_GATEWAY, 0, kOps);
+    BlockedListener listener;
+    GatewayFixture site(
+        json::array({EndpointEntry("s1", listener.port())}),
+        With({{"/request-classes/2/hard-limit-s", 60.0}, {"/limits/connect-timeout-s", 60.0}}),
+        LEMONCHUTE_GATEWAY, 0, kAdminEnvironment);
     auto client = site.gateway->Connect();
     auto sent = Clock::now();
     client->Write(Request("send-lead", 1, kTimeoutMs, "", std::string(body, 'x')));
-    AwaitFigure(site.gateway->ops_port, "active", 1);  // its attempt has begun, and asks anew after a second
-    listener.Free();
-    auto backend = listener.Take();
+    AwaitMetric(site.gateway->admin_port, "active",
+                1);  // its attempt has begun, and asks anew after a second
+    listener.Unblock();
+    auto backend = listener.Accept();
     auto came = Clock::now();
-    Message head{backend->Until("\r\n\r\n"), "", true};
+    Message head{backend->ReadUntil("\r\n\r\n"), "", true};
     auto gone = std::chrono::duration_cast<std::chrono::milliseconds>(came - sent).count();
     int told = std::atoi(head.Header("Request-Timeout-Ms").c_str());
     EXPECT_GT(told, 0);
     EXPECT_LE(told, kTimeoutMs - (body == 0 ? gone - 150 : 0)) << "up after " << gone << " ms";
-    ASSERT_TRUE(backend->Until(body));
-    backend->Write(Ok("x"));
+    ASSERT_TRUE(backend->ReadUntil(body));
+    backend->Write(OkResponse("x"));
     EXPECT_EQ(client->Read().status(), 200);
   }
 }
@@ -463,7 +470,7 @@
   constexpr double kGraceS = 0.5;
   boost::asio::io_context io{1};
   lemonchute::net::Metrics counters;
-  Backend backend(Says(Ok("x")));
+  Backend backend(RespondsWith(OkResponse("x")));
   lemonchute::net::BackendPool pool(io, 30, 1, kGraceS, 8, &counters);
   pool.SetBufferBudget(1 << 20);
   pool.Update(1, {boost::asio::ip::make_address("127.0.0.1"), static_cast<unsigned short>(backend.port())});
@@ -484,22 +491,22 @@
 // A repeat must come within the window, not only be decided on in it: its connection may come up late.
 TEST(Attempt, ARepeatWhoseConnectionComesUpAfterTheWindowIsNotMade) {
   constexpr auto kWindow = std::chrono::milliseconds(400);
-  Backend first([](const Message&, Wire&) { return std::string(); });  // ends: it may have run
-  LateListener second;
-  json entries = json::array({Entry("s1", first.port()), Entry("s2", second.port())});
+  Backend first([](const Message&, Connection&) { return std::string(); });  // ends: it may have run
+  BlockedListener second;
+  json entries = json::array({EndpointEntry("s1", first.port()), EndpointEntry("s2", second.port())});
   entries[1]["zone"] = "b";  // the first goes to its own zone
-  Site site(entries, With({{"/request-classes/1/window-s", 0.4},
-                           {"/request-classes/1/hard-limit-s", 20.0},
-                           {"/limits/connect-timeout-s", 60.0}}));
+  GatewayFixture site(entries, With({{"/request-classes/1/window-s", 0.4},
+                                     {"/request-classes/1/hard-limit-s", 20.0},
+                                     {"/limits/connect-timeout-s", 60.0}}));
   auto client = site.gateway->Connect();
   client->Write(Request("save-scenario", 1, 20000));
   ASSERT_TRUE(first.requests.Wait());
   std::this_thread::sleep_until(Clock::now() + kWindow);  // from its arrival on, so the window is over
-  second.Free();
+  second.Unblock();
   EXPECT_EQ(client->Read().status(), 503);
   site.gateway->Signal(SIGTERM);
-  EXPECT_EQ(site.gateway->Exit(), 0);
-  EXPECT_EQ(second.Sent(), "");
+  EXPECT_EQ(site.gateway->WaitForExit(), 0);
+  EXPECT_EQ(second.ReceivedBytes(), "");
 }
 
 // A second answer some milliseconds late must find no further request on its connection.
@@ -508,13 +515,13 @@
   lemonchute::net::Metrics counters;
   lemonchute::net::BackendPool pool(io, 30, 1, 1, 16, &counters);
   pool.SetBufferBudget(1 << 20);
-  Backend backend([](const Message& m, Wire& wire) {
+  Backend backend([](const Message& m, Connection& wire) {
     bool first = m.head.find("/one") != std::string::npos;
-    if (!first) return Ok("two");
-    wire.Write(Ok("one"));
+    if (!first) return OkResponse("two");
+    wire.Write(OkResponse("one"));
     // Held back until a further request has come on the same connection, or its other side has ended it.
-    if (!wire.Read().whole) return std::string();
-    return Ok("one again");
+    if (!wire.Read().complete) return std::string();
+    return OkResponse("one again");
   });
   pool.Update(1, {boost::asio::ip::make_address("127.0.0.1"), static_cast<unsigned short>(backend.port())});
   std::string second;
@@ -538,65 +545,67 @@
 // A small answer that has begun and never ends is cut soon after its request's time, so that its client can
 // tell.
 TEST(Attempt, ASmallAnswerThatNeverEndsIsCut) {
-  Backend backend([](const Message&, Wire& wire) {
+  Backend backend([](const Message&, Connection& wire) {
     std::string begun =
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5000\r\n" + std::string(0x5000, 'b');
     wire.Write(begun + "\r\n");
-    while (wire.Open()) {
+    while (wire.IsOpen()) {
       wire.Write("1\r\nb\r\n");
       std::this_thread::sleep_for(std::chrono::milliseconds(50));
     }
     return std::string();
   });
-  Site site(json::array({Entry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0, kOps);
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0,
+                      kAdminEnvironment);
   auto client = site.gateway->Connect();
   client->Write(Request("quote", 1, 500));
-  EXPECT_NE(client->Until("200 OK"), "");
-  while (client->More() && client->unread.size() < (1 << 16)) {
+  EXPECT_NE(client->ReadUntil("200 OK"), "");
+  while (client->ReadMore() && client->unread.size() < (1 << 16)) {
   }
   EXPECT_EQ(client->unread.find("\r\n0\r\n"), std::string::npos) << "must not look whole";
-  AwaitFigure(site.gateway->ops_port, "errors.quote", 1);
+  AwaitMetric(site.gateway->admin_port, "errors.quote", 1);
 }
 
 // A client that stops in the middle of a request and stays is owed its error or a close within 3 s, also on a
 // connection that has served before.
 TEST(Closing, AClientThatStopsInALaterRequestsHeadIsClosedWithinThreeSeconds) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}));
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}));
   auto client = site.gateway->Connect();
-  ASSERT_EQ(Ask(*client, Request("quote")).status(), 200);
+  ASSERT_EQ(SendRequest(*client, Request("quote")).status(), 200);
   std::string half = Request("quote");
   client->Write(half.substr(0, half.size() / 2));
   auto stopped = Clock::now();
-  EXPECT_TRUE(client->Ended() || client->Ended());
+  EXPECT_TRUE(client->WaitForClose() || client->WaitForClose());
   EXPECT_LT(Clock::now() - stopped, std::chrono::seconds(3));
 }
 
 // The same of one that stops in a body that is passed on, whatever it brought just before.
 TEST(Closing, AClientThatStopsInALongBodyIsClosedWithinThreeSeconds) {
-  Server backend([](Wire& wire) {
-    while (wire.More()) {
+  Server backend([](Connection& wire) {
+    while (wire.ReadMore()) {
     }
   });
-  Site site(json::array({Entry("s1", backend.port())}));
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}));
   auto client = site.gateway->Connect();
   std::string request = Request("save-scenario", 1, 1400, "", std::string(200000, 'y'));
   client->Write(request.substr(0, 70000));  // more than is held: it is passed on from here
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
   client->Write(request.substr(70000, 40000));
   auto stopped = Clock::now();
-  while (!client->Ended()) {
+  while (!client->WaitForClose()) {
   }
   EXPECT_LT(Clock::now() - stopped, std::chrono::seconds(3));
 }
 
 // Another customer's settings: a plan that has neither a rate nor a cap is within its quota.
 TEST(Settings, APlanWithoutAQuotaIsServed) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}),
-            With({{"/tiers-of-service/0/units-per-s", 0.0}, {"/tiers-of-service/0/store-size", 0.0}}));
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture site(
+      json::array({EndpointEntry("s1", backend.port())}),
+      With({{"/tiers-of-service/0/units-per-s", 0.0}, {"/tiers-of-service/0/store-size", 0.0}}));
   auto client = site.gateway->Connect();
-  for (int spread : {1, 2}) EXPECT_EQ(Ask(*client, Request("quote", spread)).status(), 200);
+  for (int spread : {1, 2}) EXPECT_EQ(SendRequest(*client, Request("quote", spread)).status(), 200);
 }
 
 }  // namespace
--- a/tests/gateway_rig.h
+++ b/tests/gateway_rig.h
@@ -32,9 +32,9 @@
 namespace rig {
 
 using nlohmann::json;
-inline constexpr int kLimitS = 60;  // an event that has not come by then never will
+inline constexpr int kEventTimeoutS = 60;  // an event that has not come by then never will
 
-inline int Loopback(sockaddr_in* at, int port) {
+inline int MakeLoopbackSocket(sockaddr_in* at, int port) {
   *at = {};
   at->sin_family = AF_INET;
   at->sin_addr.s_addr = htonl(INADDR_LOOPBACK);
@@ -51,7 +51,7 @@
 inline ListeningSocket ListenOnLoopback(int backlog) {
   sockaddr_in at;
   ListeningSocket listening;
-  listening.fd = Loopback(&at, 0);
+  listening.fd = MakeLoopbackSocket(&at, 0);
   EXPECT_EQ(bind(listening.fd, reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0);
   EXPECT_EQ(listen(listening.fd, backlog), 0);
   socklen_t size = sizeof(at);
@@ -62,40 +62,40 @@
 
 struct Message {
   std::string head, body;
-  bool whole = false;
+  bool complete = false;
   std::string Header(const std::string& name) const {
-    std::string low = Low(head), want = "\r\n" + Low(name) + ": ";
+    std::string low = ToLower(head), want = "\r\n" + ToLower(name) + ": ";
     size_t at = low.find(want);
     if (at == std::string::npos) return "";
     at += want.size();
     return head.substr(at, head.find("\r\n", at) - at);
   }
-  static std::string Low(std::string text) {
+  static std::string ToLower(std::string text) {
     for (char& c : text) c = static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
     return text;
   }
-  int status() const { return whole && head.size() > 12 ? std::atoi(head.c_str() + 9) : 0; }
+  int status() const { return complete && head.size() > 12 ? std::atoi(head.c_str() + 9) : 0; }
 };
 
 // A blocking connection, of either side.
-class Wire {
+class Connection {
  public:
-  explicit Wire(int fd) : fd_(fd) {
-    timeval limit{kLimitS, 0};
+  explicit Connection(int fd) : fd_(fd) {
+    timeval limit{kEventTimeoutS, 0};
     setsockopt(fd_, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof(limit));
   }
-  ~Wire() { Close(); }
-  Wire(const Wire&) = delete;
-  Wire& operator=(const Wire&) = delete;
-  static std::unique_ptr<Wire> To(int port) {
+  ~Connection() { Close(); }
+  Connection(const Connection&) = delete;
+  Connection& operator=(const Connection&) = delete;
+  static std::unique_ptr<Connection> ConnectTo(int port) {
     sockaddr_in at;
-    int fd = Loopback(&at, port);
+    int fd = MakeLoopbackSocket(&at, port);
     EXPECT_EQ(connect(fd, reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0) << std::strerror(errno);
-    return std::make_unique<Wire>(fd);
+    return std::make_unique<Connection>(fd);
   }
   void Write(const std::string& text) { (void)!send(fd_, text.data(), text.size(), MSG_NOSIGNAL); }
   // More bytes into what was read. False at the connection's end.
-  bool More() {
+  bool ReadMore() {
     char part[65536];
     ssize_t n = recv(fd_, part, sizeof(part), 0);
     if (n > 0) unread.append(part, static_cast<size_t>(n));
@@ -105,58 +105,58 @@
     Message m;
     size_t end;
     while ((end = unread.find("\r\n\r\n")) == std::string::npos) {
-      if (!More()) return m;
+      if (!ReadMore()) return m;
     }
     m.head = unread.substr(0, end + 2);
     size_t length = static_cast<size_t>(std::atol(m.Header("Content-Length").c_str()));
     while (unread.size() < end + 4 + length) {
-      if (!More()) return m;
+      if (!ReadMore()) return m;
     }
     m.body = unread.substr(end + 4, length);
     unread.erase(0, end + 4 + length);
-    m.whole = true;
+    m.complete = true;
     return m;
   }
   // Reads until `text` is among what was read, and takes all up to its end.
-  std::string Until(const std::string& text) {
+  std::string ReadUntil(const std::string& text) {
     size_t at;
     while ((at = unread.find(text)) == std::string::npos) {
-      if (!More()) return "";
+      if (!ReadMore()) return "";
     }
     std::string taken = unread.substr(0, at + text.size());
     unread.erase(0, at + text.size());
     return taken;
   }
-  bool Until(size_t bytes) {
+  bool ReadUntil(size_t bytes) {
     while (unread.size() < bytes) {
-      if (!More()) return false;
+      if (!ReadMore()) return false;
     }
     return true;
   }
   // Waits for the other side's end of the connection; true if nothing more came before it.
-  bool Ended() { return !More(); }
-  bool Open() const {
+  bool WaitForClose() { return !ReadMore(); }
+  bool IsOpen() const {
     char byte;
     ssize_t n = recv(fd_, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     return n > 0 || (n < 0 && errno == EAGAIN);
   }
   // What the system has to say of the connection: ECONNRESET where the other side has reset it.
-  int Error() const {
+  int SocketError() const {
     int error = 0;
     socklen_t size = sizeof(error);
     getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error, &size);
     return error;
   }
   // Waits until the other side's system has all that was written.
-  bool Delivered() const {
-    for (int i = 0, left = 1; i < kLimitS * 1000; ++i) {
+  bool WaitUntilDelivered() const {
+    for (int i = 0, left = 1; i < kEventTimeoutS * 1000; ++i) {
       if (ioctl(fd_, SIOCOUTQ, &left) != 0) return false;
       if (left == 0) return true;
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
     }
     return false;
   }
-  void Stop() { shutdown(fd_, SHUT_RDWR); }
+  void Shutdown() { shutdown(fd_, SHUT_RDWR); }
   void Close() {
     if (fd_ >= 0) close(fd_);
     fd_ = -1;
@@ -170,7 +170,7 @@
 // A listener whose connections each run `handler` on a thread of their own.
 class Server {
  public:
-  using Handler = std::function<void(Wire&)>;
+  using Handler = std::function<void(Connection&)>;
   explicit Server(Handler handler) : handler_(std::move(handler)), listening_(ListenOnLoopback(kBacklog)) {
     accepting_ = std::thread([this] {
       for (;;) {
@@ -179,10 +179,10 @@
         std::lock_guard lock(mutex_);
         if (stopping_) return void(close(fd));
         ++connections;
-        wires_.push_back(std::make_unique<Wire>(fd));
+        wires_.push_back(std::make_unique<Connection>(fd));
         threads_.emplace_back([this, wire = wires_.back().get()] {
           handler_(*wire);
-          wire->Stop();
+          wire->Shutdown();
         });
       }
     });
@@ -193,7 +193,7 @@
     {
       std::lock_guard lock(mutex_);
       stopping_ = true;
-      for (auto& wire : wires_) wire->Stop();
+      for (auto& wire : wires_) wire->Shutdown();
     }
     shutdown(listening_.fd, SHUT_RDWR);
     accepting_.join();
@@ -210,30 +210,32 @@
   ListeningSocket listening_;
   std::mutex mutex_;
   bool stopping_ = false;
-  std::vector<std::unique_ptr<Wire>> wires_;
+  std::vector<std::unique_ptr<Connection>> wires_;
   std::vector<std::thread> threads_;
   std::thread accepting_;
 };
 
 // A listener whose connections do not come up until Free: its queue is full, and what asks to connect asks
 // again.
-class LateListener {
+class BlockedListener {
  public:
-  LateListener() : filler_(Wire::To(listening_.port)) {}
-  ~LateListener() { close(listening_.fd); }
+  BlockedListener() : filler_(Connection::ConnectTo(listening_.port)) {}
+  ~BlockedListener() { close(listening_.fd); }
   int port() const { return listening_.port; }
-  void Free() {
-    Wire taken(accept(listening_.fd, nullptr, nullptr));
+  void Unblock() {
+    Connection taken(accept(listening_.fd, nullptr, nullptr));
     filler_->Close();
   }
-  std::unique_ptr<Wire> Take() { return std::make_unique<Wire>(accept(listening_.fd, nullptr, nullptr)); }
+  std::unique_ptr<Connection> Accept() {
+    return std::make_unique<Connection>(accept(listening_.fd, nullptr, nullptr));
+  }
   // All that has been sent to it; once the other side has ended, that is all there will ever be.
-  std::string Sent() {
+  std::string ReceivedBytes() {
     std::string all;
     pollfd ready{listening_.fd, POLLIN, 0};
     while (poll(&ready, 1, 0) > 0) {
-      Wire late(accept(listening_.fd, nullptr, nullptr));
-      while (late.More()) {
+      Connection late(accept(listening_.fd, nullptr, nullptr));
+      while (late.ReadMore()) {
       }
       all += late.unread;
     }
@@ -242,20 +244,20 @@
 
  private:
   ListeningSocket listening_ = ListenOnLoopback(/*backlog=*/0);
-  std::unique_ptr<Wire> filler_;
+  std::unique_ptr<Connection> filler_;
 };
 
 // A flag or count that tests wait for.
 class Event {
  public:
-  void Add() {
+  void Notify() {
     std::lock_guard lock(mutex_);
     ++count_;
     changed_.notify_all();
   }
   bool Wait(int at_least = 1) {
     std::unique_lock lock(mutex_);
-    return changed_.wait_for(lock, std::chrono::seconds(kLimitS), [&] { return count_ >= at_least; });
+    return changed_.wait_for(lock, std::chrono::seconds(kEventTimeoutS), [&] { return count_ >= at_least; });
   }
   int count() {
     std::lock_guard lock(mutex_);
@@ -268,7 +270,7 @@
   int count_ = 0;
 };
 
-inline std::string Ok(const std::string& body, const std::string& headers = "") {
+inline std::string OkResponse(const std::string& body, const std::string& headers = "") {
   return "HTTP/1.1 200 OK\r\n" + headers + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
          body;
 }
@@ -277,17 +279,17 @@
 // connection.
 class Backend {
  public:
-  using Answer = std::function<std::string(const Message&, Wire&)>;
+  using Answer = std::function<std::string(const Message&, Connection&)>;
   explicit Backend(Answer answer)
-      : server_([this, answer = std::move(answer)](Wire& wire) {
+      : server_([this, answer = std::move(answer)](Connection& wire) {
           for (;;) {
             Message request = wire.Read();
-            if (!request.whole) return;
+            if (!request.complete) return;
             {
               std::lock_guard lock(mutex_);
               requests_.push_back(request);
             }
-            requests.Add();
+            requests.Notify();
             std::string text = answer(request, wire);
             if (text.empty()) return;
             wire.Write(text);
@@ -307,7 +309,7 @@
   Server server_;
 };
 
-inline json Entry(const std::string& name, int port, const std::string& status = "active") {
+inline json EndpointEntry(const std::string& name, int port, const std::string& status = "active") {
   return {{"name", name},  {"address", "127.0.0.1:" + std::to_string(port)},
           {"zone", "a"},   {"type", "std"},
           {"group", 0},    {"status", status},
@@ -318,16 +320,16 @@
 class Discovery {
  public:
   Discovery()
-      : server_([this](Wire& wire) {
+      : server_([this](Connection& wire) {
           for (bool whole_before = false;;) {
             Message ask = wire.Read();
-            if (!ask.whole) return;
+            if (!ask.complete) return;
             size_t at = ask.head.find("after=");
-            if (whole_before) relisted.Add();
+            if (whole_before) full_lists_applied.Notify();
             whole_before = at == std::string::npos;
             long after = at == std::string::npos ? -1 : std::atol(ask.head.c_str() + at + 6);
             std::unique_lock lock(mutex_);
-            if (after >= 0) watches_[after].Add();
+            if (after >= 0) watches_[after].Notify();
             at = ask.head.find("wait_ms=");
             auto until =
                 std::chrono::steady_clock::now() +
@@ -343,7 +345,7 @@
                                                               : entries_}}
                                    .dump();
             if (!garbage_.empty()) text = std::exchange(garbage_, "");
-            wire.Write(Ok(text));
+            wire.Write(OkResponse(text));
           }
         }) {}
   ~Discovery() {
@@ -354,7 +356,7 @@
     }
     server_.Stop();
   }
-  void Set(json entries, bool snapshot = true, json whole = {}, std::string garbage = "") {
+  void SetList(json entries, bool snapshot = true, json whole = {}, std::string garbage = "") {
     std::lock_guard lock(mutex_);
     whole_ = snapshot ? entries : whole;
     entries_ = std::move(entries);
@@ -363,20 +365,20 @@
     ++index_;
     changed_.notify_all();
   }
-  void Silence(bool silent) {
+  void SetSilent(bool silent) {
     std::lock_guard lock(mutex_);
     silent_ = silent;
     changed_.notify_all();
   }
   // The gateway has taken in the list as set last: its next watch is here.
-  bool Told() {
+  bool AwaitListApplied() {
     std::unique_lock lock(mutex_);
     Event& event = watches_[index_];
     lock.unlock();
     return event.Wait();
   }
   int port() const { return server_.port(); }
-  Event relisted;  // whole lists that a gateway has taken in, as its next watch shows
+  Event full_lists_applied;  // whole lists that a gateway has taken in, as its next watch shows
 
  private:
   std::mutex mutex_;
@@ -390,21 +392,21 @@
 };
 
 // A folder that ends with the test, for what a gateway keeps.
-class Folder {
+class TempFolder {
  public:
-  Folder() {
+  TempFolder() {
     char path[] = "/tmp/lemonchute-folder-XXXXXX";
     EXPECT_NE(mkdtemp(path), nullptr);
     path_ = path;
   }
-  ~Folder() { std::filesystem::remove_all(path_); }
+  ~TempFolder() { std::filesystem::remove_all(path_); }
   const std::string& path() const { return path_; }
 
  private:
   std::string path_;
 };
 
-inline json Settings() {
+inline json DefaultSettings() {
   auto cls = [](const char* name, const char* effect, double aim, double limit) {
     return json{{"name", name},          {"effect", effect},     {"aim-s", aim},
                 {"hard-limit-s", limit}, {"window-s", 3.0},      {"importance", 1.0},
@@ -447,7 +449,7 @@
           {"tiers-of-service", {plan("business", 12, 32, 0), plan("small", 1, 2, 0)}}};
 }
 
-inline json Config(int discovery, int counter, json known = {}) {
+inline json DefaultConfig(int discovery, int counter, json known = {}) {
   auto at = [](int port) { return "127.0.0.1:" + std::to_string(port); };
   return {
       {"name", "n0"},
@@ -457,19 +459,19 @@
       {"seed", "8c1f30d27a5be964"},
       {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 1024}}},
       {"known", {{"index", 0}, {"snapshot", true}, {"endpoints", known.is_array() ? known : json::array()}}},
-      {"settings", Settings()}};
+      {"settings", DefaultSettings()}};
 }
 
 // A running gateway. `environment` is set for it alone.
-class Process {
+class GatewayProcess {
  public:
   using Environment = std::map<std::string, std::string>;
-  explicit Process(const json& config, const char* program = LEMONCHUTE_GATEWAY, rlim_t descriptors = 0,
-                   const Environment& environment = {}, int passed = -1)
-      : Process(config.dump(), program, descriptors, environment, passed) {}
+  explicit GatewayProcess(const json& config, const char* program = LEMONCHUTE_GATEWAY,
+                          rlim_t descriptors = 0, const Environment& environment = {}, int passed = -1)
+      : GatewayProcess(config.dump(), program, descriptors, environment, passed) {}
   // `passed`: a listening socket that the process inherits as descriptor 4.
-  Process(const std::string& config, const char* program, rlim_t descriptors,
-          const Environment& environment = {}, int passed = -1) {
+  GatewayProcess(const std::string& config, const char* program, rlim_t descriptors,
+                 const Environment& environment = {}, int passed = -1) {
     char path[] = "/tmp/lemonchute-test-XXXXXX";
     int file = mkstemp(path);
     EXPECT_GE(file, 0);
@@ -502,23 +504,24 @@
         std::string next;
         while (read(err_, &c, 1) == 1 && c != '\n') next += c;
         if (next.empty() && c != '\n') return 0;
-        if (!line.empty()) earlier += line + "\n";
-        line = next;
-        if (line.find(what) != std::string::npos) return std::atoi(line.c_str() + line.rfind(':') + 1);
+        if (!listen_line.empty()) early_log += listen_line + "\n";
+        listen_line = next;
+        if (listen_line.find(what) != std::string::npos)
+          return std::atoi(listen_line.c_str() + listen_line.rfind(':') + 1);
       }
     };
-    if (environment.count("LB_OPS") != 0) ops_port = told("operators at ");
+    if (environment.count("LB_OPS") != 0) admin_port = told("operators at ");
     port = told(" listens on ");
     draining_ = std::thread([this] {  // its log must not fill the pipe
       char part[4096];
       ssize_t n;
-      while ((n = read(err_, part, sizeof(part))) > 0) rest.append(part, static_cast<size_t>(n));
+      while ((n = read(err_, part, sizeof(part))) > 0) late_log.append(part, static_cast<size_t>(n));
     });
   }
-  ~Process() {
+  ~GatewayProcess() {
     if (pid_ > 0) {
       Signal(SIGTERM);
-      EXPECT_EQ(Exit(), 0);
+      EXPECT_EQ(WaitForExit(), 0);
     }
     unlink(path_.c_str());
   }
@@ -531,7 +534,7 @@
     EXPECT_EQ(std::rename(fresh.c_str(), path_.c_str()), 0);
     Signal(SIGHUP);
   }
-  int Exit() {
+  int WaitForExit() {
     int status = 0;
     waitpid(pid_, &status, 0);
     pid_ = -1;
@@ -540,14 +543,14 @@
     return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
   }
   // The most memory that it has had, in kB.
-  long MostMemory() const {
+  long PeakMemoryKb() const {
     std::ifstream status("/proc/" + std::to_string(pid_) + "/status");
     for (std::string text; std::getline(status, text);) {
       if (text.rfind("VmHWM:", 0) == 0) return std::atol(text.c_str() + 6);
     }
     return -1;
   }
-  size_t Descriptors() const {
+  size_t CountDescriptors() const {
     size_t n = 0;
     for (const auto& entry : std::filesystem::directory_iterator("/proc/" + std::to_string(pid_) + "/fd")) {
       n += entry.path().empty() ? 0 : 1;
@@ -555,10 +558,10 @@
     return n;
   }
   pid_t pid() const { return pid_; }
-  std::unique_ptr<Wire> Connect() const { return Wire::To(port); }
-  int port = 0, ops_port = 0;
+  std::unique_ptr<Connection> Connect() const { return Connection::ConnectTo(port); }
+  int port = 0, admin_port = 0;
   // The log: what came before the line that names the port, that line, and after Exit the others.
-  std::string earlier, line, rest;
+  std::string early_log, listen_line, late_log;
 
  private:
   pid_t pid_ = -1;
@@ -581,7 +584,7 @@
   return text + more + "\r\n" + body;
 }
 
-inline Message Ask(Wire& wire, const std::string& request) {
+inline Message SendRequest(Connection& wire, const std::string& request) {
   wire.Write(request);
   return wire.Read();
 }
--- a/tests/gateway_site.h
+++ b/tests/gateway_site.h
@@ -16,7 +16,7 @@
  public:
   using Answer = std::function<std::string(const std::string&, double)>;
   explicit Counter(Answer answer)
-      : server_([this, answer = std::move(answer)](Wire& wire) {
+      : server_([this, answer = std::move(answer)](Connection& wire) {
           for (;;) {
             std::vector<std::string> parts;
             std::string first;
@@ -29,7 +29,7 @@
             }
             EXPECT_EQ(parts.size(), 4u);
             EXPECT_LE(parts[1].size(), 64u);
-            calls.Add();
+            calls.Notify();
             wire.Write(answer(parts[1], std::atof(parts[2].c_str())));
           }
         }) {}
@@ -39,10 +39,10 @@
   Event calls;
 
  private:
-  static bool Line(Wire& wire, std::string* line) {
+  static bool Line(Connection& wire, std::string* line) {
     size_t end;
     while ((end = wire.unread.find("\r\n")) == std::string::npos) {
-      if (!wire.More()) return false;
+      if (!wire.ReadMore()) return false;
     }
     *line = wire.unread.substr(0, end);
     wire.unread.erase(0, end + 2);
@@ -51,49 +51,49 @@
   Server server_;
 };
 
-inline std::string Bulk(const std::string& text) {
+inline std::string BulkString(const std::string& text) {
   return std::string("$").append(std::to_string(text.size())).append("\r\n" + text + "\r\n");
 }
 
 // A gateway among peers that behave, with the given backends.
-struct Site {
-  explicit Site(const json& entries, json config = {}, const char* program = LEMONCHUTE_GATEWAY,
-                rlim_t descriptors = 0, const Process::Environment& environment = {}) {
-    discovery.Set(entries);
-    if (!config.is_object()) config = Config(0, 0);
+struct GatewayFixture {
+  explicit GatewayFixture(const json& entries, json config = {}, const char* program = LEMONCHUTE_GATEWAY,
+                          rlim_t descriptors = 0, const GatewayProcess::Environment& environment = {}) {
+    discovery.SetList(entries);
+    if (!config.is_object()) config = DefaultConfig(0, 0);
     config["discovery"] = "127.0.0.1:" + std::to_string(discovery.port());
     config["counter"] = "127.0.0.1:" + std::to_string(counter.port());
-    gateway = std::make_unique<Process>(config, program, descriptors, environment);
-    EXPECT_NE(gateway->port, 0) << gateway->line;
-    EXPECT_TRUE(discovery.Told());
+    gateway = std::make_unique<GatewayProcess>(config, program, descriptors, environment);
+    EXPECT_NE(gateway->port, 0) << gateway->listen_line;
+    EXPECT_TRUE(discovery.AwaitListApplied());
   }
-  Counter counter{[](const std::string&, double) { return Bulk("0"); }};
+  Counter counter{[](const std::string&, double) { return BulkString("0"); }};
   Discovery discovery;
-  std::unique_ptr<Process> gateway;
+  std::unique_ptr<GatewayProcess> gateway;
 };
 
-inline Backend::Answer Says(const std::string& text) {
-  return [text](const Message&, Wire&) { return text; };
+inline Backend::Answer RespondsWith(const std::string& text) {
+  return [text](const Message&, Connection&) { return text; };
 }
 // Says nothing until the gateway gives the attempt up.
-inline Backend::Answer Hangs(Event* given_up) {
-  return [given_up](const Message&, Wire& wire) {
-    if (wire.Ended()) given_up->Add();
+inline Backend::Answer HangsUntilClosed(Event* given_up) {
+  return [given_up](const Message&, Connection& wire) {
+    if (wire.WaitForClose()) given_up->Notify();
     return std::string();
   };
 }
 // One call of an operator.
-inline Message Call(int port, const std::string& method, const std::string& path,
-                    const std::string& body = "") {
-  auto caller = Wire::To(port);
-  return Ask(*caller, method + " " + path + " HTTP/1.1\r\nHost: ops\r\nContent-Length: " +
-                          std::to_string(body.size()) + "\r\n\r\n" + body);
+inline Message AdminCall(int port, const std::string& method, const std::string& path,
+                         const std::string& body = "") {
+  auto caller = Connection::ConnectTo(port);
+  return SendRequest(*caller, method + " " + path + " HTTP/1.1\r\nHost: ops\r\nContent-Length: " +
+                                  std::to_string(body.size()) + "\r\n\r\n" + body);
 }
-inline const std::string kReady = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
-inline const Process::Environment kOps = {{"LB_OPS", "127.0.0.1:0"}};
+inline const std::string kReadinessRequest = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
+inline const GatewayProcess::Environment kAdminEnvironment = {{"LB_OPS", "127.0.0.1:0"}};
 
-inline long Figure(int port, const std::string& name) {
-  std::istringstream lines(Call(port, "GET", "/control/counters").body);
+inline long ReadMetric(int port, const std::string& name) {
+  std::istringstream lines(AdminCall(port, "GET", "/control/counters").body);
   for (std::string line; std::getline(lines, line);) {
     if (line.rfind(name + "=", 0) == 0) return std::atol(line.c_str() + name.size() + 1);
   }
@@ -101,42 +101,42 @@
 }
 
 // A request of a customer not seen before, so that no quota is in its way.
-inline std::string Fresh(const std::string& cls) {
+inline std::string RequestOfNewCustomer(const std::string& cls) {
   static int last = 0;
   std::string request = Request(cls), customer = std::to_string(10000000 + ++last);
   return request.replace(request.find("b4d65521"), 8, customer);
 }
 
-inline void AwaitFigure(int port, const std::string& name, long value) {
-  for (int i = 0; i < 3000 && Figure(port, name) != value; ++i) {
+inline void AwaitMetric(int port, const std::string& name, long value) {
+  for (int i = 0; i < 3000 && ReadMetric(port, name) != value; ++i) {
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
-  EXPECT_EQ(Figure(port, name), value);
+  EXPECT_EQ(ReadMetric(port, name), value);
 }
 
 // The platform's side of an upgrade: it holds the clients' socket and starts processes that share a folder.
-struct Upgrade {
-  Upgrade() { discovery.Set(json::array({Entry("s1", backend.port())})); }
-  ~Upgrade() { close(socket); }
-  std::unique_ptr<Process> Start() {
-    return std::make_unique<Process>(
-        Config(discovery.port(), counter.port()), LEMONCHUTE_GATEWAY, 0,
-        Process::Environment{{"LB_OPS", "127.0.0.1:0"}, {"TMPDIR", folder.path()}}, socket);
+struct UpgradeFixture {
+  UpgradeFixture() { discovery.SetList(json::array({EndpointEntry("s1", backend.port())})); }
+  ~UpgradeFixture() { close(socket); }
+  std::unique_ptr<GatewayProcess> Start() {
+    return std::make_unique<GatewayProcess>(
+        DefaultConfig(discovery.port(), counter.port()), LEMONCHUTE_GATEWAY, 0,
+        GatewayProcess::Environment{{"LB_OPS", "127.0.0.1:0"}, {"TMPDIR", folder.path()}}, socket);
   }
-  static void AwaitReady(const Process& process) {
-    for (int i = 0; i < 3000 && Call(process.ops_port, "GET", "/control/ready").status() != 200; ++i) {
+  static void AwaitReady(const GatewayProcess& process) {
+    for (int i = 0; i < 3000 && AdminCall(process.admin_port, "GET", "/control/ready").status() != 200; ++i) {
       std::this_thread::sleep_for(std::chrono::milliseconds(10));
     }
-    EXPECT_EQ(Call(process.ops_port, "GET", "/control/ready").status(), 200);
+    EXPECT_EQ(AdminCall(process.admin_port, "GET", "/control/ready").status(), 200);
   }
   Event held, go;
-  Backend backend{[this](const Message& m, Wire&) {
-    if (m.body == "wait") held.Add(), go.Wait();
-    return Ok("x");
+  Backend backend{[this](const Message& m, Connection&) {
+    if (m.body == "wait") held.Notify(), go.Wait();
+    return OkResponse("x");
   }};
-  Counter counter{[](const std::string&, double) { return Bulk("0"); }};
+  Counter counter{[](const std::string&, double) { return BulkString("0"); }};
   Discovery discovery;
-  Folder folder;
+  TempFolder folder;
   const int socket = ListenOnLoopback(/*backlog=*/256).fd;
 };
 
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -14,16 +14,17 @@
 
 // A port where nothing listens.
 int DeadPort() {
-  return Server([](Wire&) {}).port();
+  return Server([](Connection&) {}).port();
 }
 
 TEST(Gateway, PassesRequestAndAnswerOnUnchangedAndKeepsConnections) {
-  Backend backend(
-      [](const Message& m, Wire&) { return Ok("echo:" + m.body, "X-Note: kept\r\nX-Cost-Units: 2\r\n"); });
-  Site site(json::array({Entry("s1", backend.port())}));
+  Backend backend([](const Message& m, Connection&) {
+    return OkResponse("echo:" + m.body, "X-Note: kept\r\nX-Cost-Units: 2\r\n");
+  });
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}));
   auto client = site.gateway->Connect();
-  EXPECT_EQ(Ask(*client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
-  Message answer = Ask(*client, Request("send-lead?a=b%20c", 1, 3000, "X-Own: 7\r\n", "the body"));
+  EXPECT_EQ(SendRequest(*client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
+  Message answer = SendRequest(*client, Request("send-lead?a=b%20c", 1, 3000, "X-Own: 7\r\n", "the body"));
   EXPECT_EQ(answer.status(), 200);
   EXPECT_EQ(answer.body, "echo:the body");
   EXPECT_EQ(answer.Header("X-Note"), "kept");
@@ -37,16 +38,16 @@
   // A connection rests for 10 ms from its answer on, which is past once the answer has been here for longer.
   auto rest = [] { std::this_thread::sleep_for(std::chrono::milliseconds(30)); };
   rest();
-  EXPECT_EQ(Ask(*client, Request("save-scenario", 1, 3000, "", "b")).status(), 200);
+  EXPECT_EQ(SendRequest(*client, Request("save-scenario", 1, 3000, "", "b")).status(), 200);
   EXPECT_FALSE(backend.request(1).Header("Idempotency-Key").empty());
   rest();
-  EXPECT_EQ(Ask(*client, Request("quote")).status(), 200);
+  EXPECT_EQ(SendRequest(*client, Request("quote")).status(), 200);
   EXPECT_EQ(backend.connections(), 1);
 }
 
 TEST(Gateway, AnswersBadInputItselfAndGoesOn) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}));
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}));
   auto without = [](std::string request, const std::string& header) {
     size_t at = request.find(header + ":");
     return request.erase(at, request.find("\r\n", at) + 2 - at);
@@ -80,25 +81,25 @@
   };
   for (const auto& [text, status] : cases) {
     auto client = site.gateway->Connect();
-    EXPECT_EQ(Ask(*client, text).status(), status) << text.substr(0, 300);
+    EXPECT_EQ(SendRequest(*client, text).status(), status) << text.substr(0, 300);
   }
   EXPECT_EQ(backend.requests.count(), 0);
   auto client = site.gateway->Connect();
-  EXPECT_EQ(Ask(*client, without(good, "X-Tier")).status(), 400);
-  EXPECT_EQ(Ask(*client, good).status(), 200) << "the framing was sound, so the connection goes on";
+  EXPECT_EQ(SendRequest(*client, without(good, "X-Tier")).status(), 400);
+  EXPECT_EQ(SendRequest(*client, good).status(), 200) << "the framing was sound, so the connection goes on";
 }
 
 // Who connects and never comes to a request is answered or closed soon; a client between requests is kept.
 // Each odd form of a time-out has one meaning, and none is a budget without end.
 TEST(Gateway, ReadsATimeOutInOneWayAndBoundsItByTheClass) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}));
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}));
   auto client = site.gateway->Connect();
   const std::string field = "Request-Timeout-Ms: ";
   auto with = [&](const std::string& lines) {
-    std::string request = Fresh("quote");
+    std::string request = RequestOfNewCustomer("quote");
     size_t at = request.find(field);
-    return Ask(*client, request.replace(at, request.find("\r\n", at) + 2 - at, lines)).status();
+    return SendRequest(*client, request.replace(at, request.find("\r\n", at) + 2 - at, lines)).status();
   };
   for (const char* value :
        {"", "0", "000", "-1", "+5", "1.5", "1e3", "0x10", "ten", "10 20", "10,20", "10ms"}) {
@@ -121,23 +122,23 @@
 }
 
 TEST(Gateway, EndsPeersThatNeverAskSoon) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}));
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}));
   auto client = site.gateway->Connect();
-  EXPECT_EQ(Ask(*client, Request("quote")).status(), 200);
+  EXPECT_EQ(SendRequest(*client, Request("quote")).status(), 200);
   std::string part = Request("send-lead", 1, 3000, "", "the body");
-  std::vector<std::unique_ptr<Wire>> peers;
+  std::vector<std::unique_ptr<Connection>> peers;
   auto begun = std::chrono::steady_clock::now();
   for (std::string sent :
        {std::string(), std::string("no http"), part.substr(0, 60), part.substr(0, part.size() - 1)}) {
     peers.push_back(site.gateway->Connect());
     peers.back()->Write(sent);
   }
-  for (auto& peer : peers) EXPECT_TRUE(peer->Ended());
+  for (auto& peer : peers) EXPECT_TRUE(peer->WaitForClose());
   EXPECT_LT(std::chrono::steady_clock::now() - begun, std::chrono::seconds(6)) << "2.5 s, on a busy machine";
   EXPECT_EQ(backend.requests.count(), 1);
-  EXPECT_TRUE(client->Open());
-  EXPECT_EQ(Ask(*client, Request("quote")).status(), 200);
+  EXPECT_TRUE(client->IsOpen());
+  EXPECT_EQ(SendRequest(*client, Request("quote")).status(), 200);
   auto large = site.gateway->Connect();
   large->Write("POST /send-lead HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n" + std::string(2000, 'b'));
   EXPECT_EQ(large->Read().status(), 413) << "at its header, also with the first of its bytes";
@@ -145,8 +146,8 @@
 
 // What a client may also write, and means the same.
 TEST(Gateway, TakesEveryLegalSpelling) {
-  Backend backend([](const Message& m, Wire&) { return Ok(m.body); });
-  Site site(json::array({Entry("s1", backend.port())}));
+  Backend backend([](const Message& m, Connection&) { return OkResponse(m.body); });
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}));
   auto client = site.gateway->Connect();
   auto with = [](std::string request, const std::string& from, const std::string& to) {
     return request.replace(request.find(from), from.size(), to);
@@ -157,12 +158,12 @@
         with(good, "Cookie: client", "cOOKIE:\tother=1; x=y\r\nCookie:client"),
         with(good, "00000000b4d65521", "\"b4d65521\""),
         with(good, "units=1,spread=1", "units = 1 , x=2\r\nX-CALL-TERMS:spread=1"), "\r\n\r\n" + good}) {
-    EXPECT_EQ(Ask(*client, text).status(), 200) << text;
+    EXPECT_EQ(SendRequest(*client, text).status(), 200) << text;
   }
   EXPECT_EQ(backend.request(0).head.substr(0, 24), "GET /quote?a=1 HTTP/1.1\r");
   EXPECT_EQ(backend.request(1).head.substr(0, 12), "GET /qu%6Fte") << "unaltered";
   std::string old = with(Request("quote", 1, 3000, "Connection: Keep-Alive\r\n"), "HTTP/1.1", "HTTP/1.0");
-  EXPECT_EQ(Ask(*client, old).Header("Connection"), "keep-alive");
+  EXPECT_EQ(SendRequest(*client, old).Header("Connection"), "keep-alive");
   client->Write(Request("send-lead", 1, 3000, "Transfer-Encoding: chunked\r\n") +
                 "3;a=\"b\"\r\nabc\r\n02\r\nde\r\n000\r\nX-End: 1\r\n\r\n");
   EXPECT_EQ(client->Read().body, "abcde");
@@ -170,8 +171,8 @@
 
 // Bytes that come before the answer to the request before them are the next request.
 TEST(Gateway, LosesNoPipelinedBytes) {
-  Backend backend([](const Message& m, Wire&) { return Ok(m.body); });
-  Site site(json::array({Entry("s1", backend.port())}));
+  Backend backend([](const Message& m, Connection&) { return OkResponse(m.body); });
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}));
   auto client = site.gateway->Connect();
   std::string third = Request("send-lead", 1, 3000, "", "three");
   client->Write(Request("send-lead", 1, 3000, "", "one") + Request("send-lead", 1, 3000, "", "two") +
@@ -187,13 +188,13 @@
                                    "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
                                    "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", "garbage\r\n\r\n"};
   for (const std::string& end : ends) {
-    Backend backend([end](const Message&, Wire& wire) {
+    Backend backend([end](const Message&, Connection& wire) {
       wire.Write(end);
       return std::string();
     });
-    Site site(json::array({Entry("s1", backend.port())}));
+    GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}));
     auto client = site.gateway->Connect();
-    EXPECT_EQ(Ask(*client, Request("send-lead")).status(), 502) << end;
+    EXPECT_EQ(SendRequest(*client, Request("send-lead")).status(), 502) << end;
     EXPECT_EQ(backend.requests.count(), 1) << end;
   }
 }
@@ -204,12 +205,12 @@
   for (std::string head :
        {"Content-Length: 3000000000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\nb2d05e00\r\n"}) {
     Event given_up;
-    Backend backend([&](const Message&, Wire& wire) {
+    Backend backend([&](const Message&, Connection& wire) {
       wire.Write("HTTP/1.1 200 OK\r\n" + head + "the first bytes of a body");
-      if (wire.Ended()) given_up.Add();
+      if (wire.WaitForClose()) given_up.Notify();
       return std::string();
     });
-    Site site(json::array({Entry("s1", backend.port())}));
+    GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}));
     auto client = site.gateway->Connect();
     client->Write(Request("send-lead", 1, 600000));
     EXPECT_TRUE(given_up.Wait()) << head;
@@ -218,18 +219,20 @@
 }
 
 TEST(Gateway, TakesOnlyNotStartedAsTurnedAway) {
-  Backend full(Says("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"));
-  Site site(json::array({Entry("s1", full.port())}));
+  Backend full(RespondsWith("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"));
+  GatewayFixture site(json::array({EndpointEntry("s1", full.port())}));
   auto client = site.gateway->Connect();
-  EXPECT_EQ(Ask(*client, Request("send-lead")).status(), 503) << "it never ran, so asking again is harmless";
+  EXPECT_EQ(SendRequest(*client, Request("send-lead")).status(), 503)
+      << "it never ran, so asking again is harmless";
 }
 
 // What could not be connected to has not run, so another backend may get even an unsafe request.
 TEST(Gateway, TriesElsewhereWhatCouldNotConnect) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("dead", DeadPort()), Entry("live", backend.port())}));
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture site(
+      json::array({EndpointEntry("dead", DeadPort()), EndpointEntry("live", backend.port())}));
   auto client = site.gateway->Connect();
-  for (int i = 0; i < 6; ++i) EXPECT_EQ(Ask(*client, Request("send-lead")).status(), 200);
+  for (int i = 0; i < 6; ++i) EXPECT_EQ(SendRequest(*client, Request("send-lead")).status(), 200);
   EXPECT_EQ(backend.requests.count(), 6);
 }
 
@@ -237,46 +240,46 @@
 TEST(Gateway, ReusesNoStaleConnection) {
   for (std::string after : {"close", "bytes", "header"}) {
     Event closed;
-    Backend backend([&](const Message&, Wire& wire) {
-      if (after == "header") return Ok("x", "Connection: close\r\n");
-      wire.Write(Ok("x") + (after == "bytes" ? "unasked" : ""));
+    Backend backend([&](const Message&, Connection& wire) {
+      if (after == "header") return OkResponse("x", "Connection: close\r\n");
+      wire.Write(OkResponse("x") + (after == "bytes" ? "unasked" : ""));
       if (after == "bytes") {
-        if (wire.Ended()) closed.Add();
+        if (wire.WaitForClose()) closed.Notify();
       }
       return std::string();
     });
-    Site site(json::array({Entry("s1", backend.port())}));
+    GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}));
     auto client = site.gateway->Connect();
-    EXPECT_EQ(Ask(*client, Request("send-lead")).status(), 200) << after;
+    EXPECT_EQ(SendRequest(*client, Request("send-lead")).status(), 200) << after;
     if (after == "bytes") {
       EXPECT_TRUE(closed.Wait());
     }
     // The end may cross the next request; from the one after it on the connection is known to be over.
-    if (after == "close") Ask(*client, Request("quote"));
-    EXPECT_EQ(Ask(*client, Request("send-lead")).status(), 200) << after;
+    if (after == "close") SendRequest(*client, Request("quote"));
+    EXPECT_EQ(SendRequest(*client, Request("send-lead")).status(), 200) << after;
   }
 }
 
 TEST(Gateway, ClosesKeptConnectionsBeforeTheIdleLimit) {
   Event closed;
-  Backend backend([&](const Message&, Wire& wire) {
-    wire.Write(Ok("x"));
-    if (wire.Ended()) closed.Add();
+  Backend backend([&](const Message&, Connection& wire) {
+    wire.Write(OkResponse("x"));
+    if (wire.WaitForClose()) closed.Notify();
     return std::string();
   });
-  json config = Config(0, 0);
+  json config = DefaultConfig(0, 0);
   config["settings"]["limits"]["conn-idle-s"] = 0.5;
-  Site site(json::array({Entry("s1", backend.port())}), config);
-  EXPECT_EQ(Ask(*site.gateway->Connect(), Request("quote")).status(), 200);
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}), config);
+  EXPECT_EQ(SendRequest(*site.gateway->Connect(), Request("quote")).status(), 200);
   EXPECT_TRUE(closed.Wait());
 }
 
 TEST(Gateway, GivesUpASilentBackendInTimeAndClosesItsConnection) {
   Event given_up;
-  Backend backend(Hangs(&given_up));
-  Site site(json::array({Entry("s1", backend.port())}));
+  Backend backend(HangsUntilClosed(&given_up));
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}));
   auto client = site.gateway->Connect();
-  EXPECT_EQ(Ask(*client, Request("send-lead", 1, 400)).status(), 502);
+  EXPECT_EQ(SendRequest(*client, Request("send-lead", 1, 400)).status(), 502);
   EXPECT_TRUE(given_up.Wait());
   EXPECT_EQ(backend.requests.count(), 1);
 }
@@ -285,35 +288,35 @@
 TEST(Gateway, ClosesAnAttemptBeforeItSendsTheNext) {
   Event given_up;
   std::atomic<int> seen{0};
-  auto answer = [&](const Message&, Wire& wire) {
+  auto answer = [&](const Message&, Connection& wire) {
     if (seen++ == 0) {
-      if (wire.Ended()) given_up.Add();
+      if (wire.WaitForClose()) given_up.Notify();
       return std::string();
     }
-    return given_up.Wait() ? Ok("second") : std::string();
+    return given_up.Wait() ? OkResponse("second") : std::string();
   };
   Backend one(answer), two(answer);
-  Site site(json::array({Entry("s1", one.port()), Entry("s2", two.port())}));
-  EXPECT_EQ(Ask(*site.gateway->Connect(), Request("quote")).body, "second");
+  GatewayFixture site(json::array({EndpointEntry("s1", one.port()), EndpointEntry("s2", two.port())}));
+  EXPECT_EQ(SendRequest(*site.gateway->Connect(), Request("quote")).body, "second");
 }
 
 // A connection that comes up after its attempt was given up carries nothing.
 TEST(Gateway, SendsNothingOnALateConnection) {
-  LateListener backend;
+  BlockedListener backend;
   {
-    Site site(json::array({Entry("s1", backend.port())}));
+    GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}));
     auto client = site.gateway->Connect();
-    EXPECT_EQ(Ask(*client, Request("send-lead")).status(), 503);
+    EXPECT_EQ(SendRequest(*client, Request("send-lead")).status(), 503);
   }
   // The gateway has ended, so all that it ever sent is here.
-  backend.Free();
-  EXPECT_EQ(backend.Sent(), "");
+  backend.Unblock();
+  EXPECT_EQ(backend.ReceivedBytes(), "");
 }
 
 TEST(Gateway, CancelsWhatIsOutWhenItsClientHasGone) {
   Event given_up;
-  Backend backend(Hangs(&given_up));
-  Site site(json::array({Entry("s1", backend.port())}));
+  Backend backend(HangsUntilClosed(&given_up));
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}));
   auto client = site.gateway->Connect();
   client->Write(Request("send-lead", 1, 600000));
   EXPECT_TRUE(backend.requests.Wait());
@@ -323,14 +326,14 @@
 
 // The module's refusal comes at once, with the time after which to come back.
 TEST(Gateway, RefusesBeyondTheQuotaAtOnceWithRetryAfter) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}));
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}));
   auto client = site.gateway->Connect();
   Message last;
   for (int i = 0; i < 10 && last.status() != 429; ++i) {
     std::string request = Request("quote", 1, 600000);
     request.replace(request.find("X-Tier: business"), 16, "X-Tier: small");
-    last = Ask(*client, request);
+    last = SendRequest(*client, request);
   }
   EXPECT_EQ(last.status(), 429);
   EXPECT_GT(std::atof(last.Header("Retry-After").c_str()), 0);
@@ -340,71 +343,73 @@
 // known.
 TEST(Gateway, AnswersInTimeForAModuleThatIsSilent) {
   Event given_up;
-  Backend backend(Hangs(&given_up));
-  Site site(json::array({Entry("s1", backend.port())}), {}, LEMONCHUTE_SILENT);
-  EXPECT_EQ(Ask(*site.gateway->Connect(), Request("quote", 1, 200)).status(), 503);
-  EXPECT_EQ(Ask(*site.gateway->Connect(), Request("send-lead", 1, 200)).status(), 503);
-  EXPECT_EQ(Ask(*site.gateway->Connect(), Request("save-scenario", 1, 200)).status(), 504);
+  Backend backend(HangsUntilClosed(&given_up));
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}), {}, LEMONCHUTE_SILENT);
+  EXPECT_EQ(SendRequest(*site.gateway->Connect(), Request("quote", 1, 200)).status(), 503);
+  EXPECT_EQ(SendRequest(*site.gateway->Connect(), Request("send-lead", 1, 200)).status(), 503);
+  EXPECT_EQ(SendRequest(*site.gateway->Connect(), Request("save-scenario", 1, 200)).status(), 504);
   EXPECT_TRUE(given_up.Wait()) << "what is out at the answer is given up";
 }
 
 TEST(Gateway, FollowsDiscovery) {
-  Backend one(Says(Ok("one"))), two(Says(Ok("two")));
-  Site site(json::array({Entry("a", one.port())}));
+  Backend one(RespondsWith(OkResponse("one"))), two(RespondsWith(OkResponse("two")));
+  GatewayFixture site(json::array({EndpointEntry("a", one.port())}));
   auto client = site.gateway->Connect();
   auto told = [&] {
-    EXPECT_TRUE(site.discovery.Told());
-    return Ask(*client, Request("quote")).body;
+    EXPECT_TRUE(site.discovery.AwaitListApplied());
+    return SendRequest(*client, Request("quote")).body;
   };
   EXPECT_EQ(told(), "one");
-  site.discovery.Set(json::array({Entry("b", two.port())}));
+  site.discovery.SetList(json::array({EndpointEntry("b", two.port())}));
   EXPECT_EQ(told(), "two") << "what a whole list does not name is gone";
-  site.discovery.Set(json::array({Entry("b", one.port())}));
+  site.discovery.SetList(json::array({EndpointEntry("b", one.port())}));
   EXPECT_EQ(told(), "one") << "an address may change";
-  site.discovery.Set(json::array({Entry("a", two.port()), Entry("b", one.port(), "leaving")}), false,
-                     json::array({Entry("a", two.port()), Entry("b", one.port(), "leaving")}));
+  site.discovery.SetList(
+      json::array({EndpointEntry("a", two.port()), EndpointEntry("b", one.port(), "leaving")}), false,
+      json::array({EndpointEntry("a", two.port()), EndpointEntry("b", one.port(), "leaving")}));
   EXPECT_EQ(told(), "two") << "nothing new to one that leaves";
-  site.discovery.Set(json::array({Entry("a", two.port())}), true, {}, "no list");
+  site.discovery.SetList(json::array({EndpointEntry("a", two.port())}), true, {}, "no list");
   EXPECT_EQ(told(), "two") << "garbage changes nothing, and is asked for again";
 }
 
 // SIGHUP ends nothing: what is held goes on, and discovery and the counter are those that the file names now.
 TEST(Gateway, GoesToTheAddressesOfTheReplacedConfigurationOnSighup) {
   Event held, go;
-  Backend one([&](const Message&, Wire&) { return held.Add(), go.Wait(), Ok("one"); });
-  Backend two(Says(Ok("two")));
-  Site site(json::array({Entry("a", one.port())}));
+  Backend one([&](const Message&, Connection&) { return held.Notify(), go.Wait(), OkResponse("one"); });
+  Backend two(RespondsWith(OkResponse("two")));
+  GatewayFixture site(json::array({EndpointEntry("a", one.port())}));
   Discovery discovery;  // tells of a later version, as a list of one version has one content
-  discovery.Set(json::array({Entry("a", one.port())}));
-  discovery.Set(json::array({Entry("b", two.port())}));
-  Counter counter([](const std::string&, double) { return Bulk("0"); });
+  discovery.SetList(json::array({EndpointEntry("a", one.port())}));
+  discovery.SetList(json::array({EndpointEntry("b", two.port())}));
+  Counter counter([](const std::string&, double) { return BulkString("0"); });
   auto early = site.gateway->Connect(), late = site.gateway->Connect();
   early->Write(Request("send-lead"));
   ASSERT_TRUE(held.Wait());
-  site.gateway->Reconfigure(Config(discovery.port(), counter.port()));
-  ASSERT_TRUE(discovery.Told());
+  site.gateway->Reconfigure(DefaultConfig(discovery.port(), counter.port()));
+  ASSERT_TRUE(discovery.AwaitListApplied());
   std::string another = Request("quote", 2);  // of a customer not seen before, which is asked about at once
-  EXPECT_EQ(Ask(*late, another.replace(another.find("b4d65521"), 8, "b4d65522")).body, "two");
+  EXPECT_EQ(SendRequest(*late, another.replace(another.find("b4d65521"), 8, "b4d65522")).body, "two");
   EXPECT_TRUE(counter.calls.Wait());
-  go.Add();
+  go.Notify();
   EXPECT_EQ(early->Read().body, "one");
   site.gateway->Reconfigure({{"name", "nothing else"}});  // what cannot be read changes nothing
-  EXPECT_EQ(Ask(*late, Request("quote", 2)).body, "two");
+  EXPECT_EQ(SendRequest(*late, Request("quote", 2)).body, "two");
 }
 
 TEST(Gateway, ServesByTheKnownListWhileDiscoveryIsSilent) {
-  Backend backend(Says(Ok("x")));
+  Backend backend(RespondsWith(OkResponse("x")));
   Discovery discovery;
-  discovery.Silence(true);
-  Counter counter([](const std::string&, double) { return Bulk("0"); });
-  Process gateway(Config(discovery.port(), counter.port(), json::array({Entry("s1", backend.port())})));
+  discovery.SetSilent(true);
+  Counter counter([](const std::string&, double) { return BulkString("0"); });
+  GatewayProcess gateway(
+      DefaultConfig(discovery.port(), counter.port(), json::array({EndpointEntry("s1", backend.port())})));
   auto client = gateway.Connect();
-  EXPECT_EQ(Ask(*client, Request("quote")).status(), 200);
+  EXPECT_EQ(SendRequest(*client, Request("quote")).status(), 200);
   for (int i = 0; i < 3000; ++i) {  // ready without discovery, once its first call has failed
-    if (Ask(*client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200) break;
+    if (SendRequest(*client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200) break;
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
-  EXPECT_EQ(Ask(*client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
+  EXPECT_EQ(SendRequest(*client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
 }
 
 // Discovery that can't carry the fleet answers 503. Gateways come again at times of their own, and go on from
@@ -416,11 +421,11 @@
     boost::asio::io_context io(1);
     std::atomic<int> watches{0}, whole{0};
     std::string list = json{{"index", 4}, {"snapshot", true}, {"endpoints", json::array()}}.dump();
-    Server server([&](Wire& wire) {
-      for (Message ask = wire.Read(); ask.whole; ask = wire.Read()) {
+    Server server([&](Connection& wire) {
+      for (Message ask = wire.Read(); ask.complete; ask = wire.Read()) {
         bool watch = ask.head.find("after=4") != std::string::npos;
         ++(watch ? watches : whole);
-        wire.Write(whole == 1 && !watch ? Ok(list)
+        wire.Write(whole == 1 && !watch ? OkResponse(list)
                                         : "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
       }
     });
@@ -450,27 +455,27 @@
 TEST(Gateway, ServesWithACounterThatFails) {
   for (std::string answer :
        {"", "-BUSY full\r\n", "-ERR no\r\n", "garbage\r\n", "$999999999\r\n", "$3\r\nabc\r\n"}) {
-    Backend backend(Says(Ok("x")));
+    Backend backend(RespondsWith(OkResponse("x")));
     Discovery discovery;
-    discovery.Set(json::array({Entry("s1", backend.port())}));
+    discovery.SetList(json::array({EndpointEntry("s1", backend.port())}));
     Counter counter([&](const std::string&, double) { return answer; });
-    Process gateway(Config(discovery.port(), counter.port()));
-    EXPECT_TRUE(discovery.Told());
+    GatewayProcess gateway(DefaultConfig(discovery.port(), counter.port()));
+    EXPECT_TRUE(discovery.AwaitListApplied());
     auto client = gateway.Connect();
-    for (int i = 0; i < 8; ++i) EXPECT_EQ(Ask(*client, Request("quote", 2)).status(), 200) << answer;
+    for (int i = 0; i < 8; ++i) EXPECT_EQ(SendRequest(*client, Request("quote", 2)).status(), 200) << answer;
     EXPECT_GT(counter.calls.count(), 0) << answer;
   }
 }
 
 TEST(Gateway, OnSigtermFinishesWhatItHoldsAndServesWhatStillComes) {
   Event held, go;
-  Backend backend([&](const Message&, Wire&) {
-    held.Add();
+  Backend backend([&](const Message&, Connection&) {
+    held.Notify();
     go.Wait();
-    return Ok("x");
+    return OkResponse("x");
   });
-  Backend other([&](const Message& m, Wire&) { return held.Add(), go.Wait(), Ok(m.body); });
-  Site site(json::array({Entry("s1", backend.port()), Entry("s2", other.port())}));
+  Backend other([&](const Message& m, Connection&) { return held.Notify(), go.Wait(), OkResponse(m.body); });
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port()), EndpointEntry("s2", other.port())}));
   auto client = site.gateway->Connect(), later = site.gateway->Connect();
   client->Write(Request("send-lead", 1, 3000));
   EXPECT_TRUE(held.Wait());
@@ -478,51 +483,53 @@
   later->Write(begun.substr(0, 50));
   site.gateway->Signal(SIGTERM);
   auto probe = site.gateway->Connect();
-  for (int i = 0; i < 3000 && Ask(*probe, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200; ++i) {
+  for (int i = 0; i < 3000 && SendRequest(*probe, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200;
+       ++i) {
   }
   // A new connection, and one that was there before. Like a client, it asks again if the gateway's closing of
   // idle connections has crossed its request.
   later->Write(begun.substr(50));
   EXPECT_TRUE(held.Wait(2));
-  std::unique_ptr<Wire> fresh;
+  std::unique_ptr<Connection> fresh;
   for (int i = 0; i < 50 && held.count() < 3; ++i) {
     fresh = site.gateway->Connect();
     fresh->Write(Request("save-scenario"));
-    while (held.count() < 3 && fresh->Open()) std::this_thread::sleep_for(std::chrono::milliseconds(2));
+    while (held.count() < 3 && fresh->IsOpen()) std::this_thread::sleep_for(std::chrono::milliseconds(2));
   }
   ASSERT_NE(fresh, nullptr);
-  go.Add();
-  for (Wire* wire : {client.get(), fresh.get(), later.get()}) {
+  go.Notify();
+  for (Connection* wire : {client.get(), fresh.get(), later.get()}) {
     Message answer = wire->Read();
     EXPECT_EQ(answer.status(), 200);
     EXPECT_EQ(answer.Header("Connection"), "close");
-    EXPECT_TRUE(wire->Ended());
+    EXPECT_TRUE(wire->WaitForClose());
   }
-  EXPECT_EQ(site.gateway->Exit(), 0);
+  EXPECT_EQ(site.gateway->WaitForExit(), 0);
 }
 
 // More connections than there are descriptors: the longest idle make room, and what waits is taken later.
 TEST(Gateway, SurvivesRunningOutOfDescriptors) {
-  Backend backend(Says(Ok("x")));
-  json config = Config(0, 0);
+  Backend backend(RespondsWith(OkResponse("x")));
+  json config = DefaultConfig(0, 0);
   config["limits"]["sockets"] = 64;
   for (rlim_t limit : {64, 16}) {  // within its budget, and with less than that
-    Site site(json::array({Entry("s1", backend.port())}), config, LEMONCHUTE_GATEWAY, limit);
-    std::vector<std::unique_ptr<Wire>> idle;
+    GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}), config, LEMONCHUTE_GATEWAY,
+                        limit);
+    std::vector<std::unique_ptr<Connection>> idle;
     for (int i = 0; i < 60; ++i) idle.push_back(site.gateway->Connect());
     auto client = site.gateway->Connect();
     if (limit < 64) idle.clear();
-    EXPECT_NE(Ask(*client, Request("quote")).status(), 0);
+    EXPECT_NE(SendRequest(*client, Request("quote")).status(), 0);
     idle.clear();
     int status = 0;
     for (int i = 0; i < 100 && status != 200; ++i)
-      status = Ask(*site.gateway->Connect(), Request("quote")).status();
+      status = SendRequest(*site.gateway->Connect(), Request("quote")).status();
     EXPECT_EQ(status, 200);
   }
 }
 
 TEST(Gateway, SaysInOneLineWhatSettingIsMissing) {
-  json missing = Config(1, 1), bad = Config(1, 1), list = Config(1, 1);
+  json missing = DefaultConfig(1, 1), bad = DefaultConfig(1, 1), list = DefaultConfig(1, 1);
   missing["settings"]["invariants"].erase("cold-from");
   bad["listen"] = "nowhere";
   list["known"] = {{"index", "x"}};
@@ -532,106 +539,109 @@
       {list.dump(), "/known"},
       {"{", "JSON"}};
   for (const auto& [text, word] : cases) {
-    Process gateway(text, LEMONCHUTE_GATEWAY, 0);
-    EXPECT_NE(gateway.Exit(), 0);
-    EXPECT_NE(gateway.line.find(word), std::string::npos) << gateway.line;
-    EXPECT_EQ(gateway.rest, "") << "one line";
+    GatewayProcess gateway(text, LEMONCHUTE_GATEWAY, 0);
+    EXPECT_NE(gateway.WaitForExit(), 0);
+    EXPECT_NE(gateway.listen_line.find(word), std::string::npos) << gateway.listen_line;
+    EXPECT_EQ(gateway.late_log, "") << "one line";
   }
 }
 
 TEST(Ops, AnswersItsCallsAndRefusesOthers) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0, kOps);
-  int ops = site.gateway->ops_port;
-  EXPECT_EQ(Call(ops, "GET", "/control/ready").status(), 200);
-  EXPECT_EQ(Call(ops, "GET", "/control/nothing").status(), 404);
-  EXPECT_EQ(Call(ops, "GET", "/control/backends/s1").status(), 404);
-  EXPECT_EQ(Call(ops, "PUT", "/control/ready").status(), 405);
-  EXPECT_EQ(Call(ops, "GET", "/control/out-of-service").status(), 405);
-  EXPECT_EQ(Call(ops, "DELETE", "/control/backends/s1/offline").status(), 405);
-  EXPECT_EQ(Call(ops, "PUT", "/control/backends/s2/offline").status(), 404);
-  auto caller = Wire::To(ops);
-  EXPECT_EQ(Ask(*caller, "no call\r\n\r\n").status(), 400);
-  EXPECT_TRUE(caller->Ended());
-  EXPECT_EQ(Ask(*site.gateway->Connect(), "GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 400)
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0,
+                      kAdminEnvironment);
+  int ops = site.gateway->admin_port;
+  EXPECT_EQ(AdminCall(ops, "GET", "/control/ready").status(), 200);
+  EXPECT_EQ(AdminCall(ops, "GET", "/control/nothing").status(), 404);
+  EXPECT_EQ(AdminCall(ops, "GET", "/control/backends/s1").status(), 404);
+  EXPECT_EQ(AdminCall(ops, "PUT", "/control/ready").status(), 405);
+  EXPECT_EQ(AdminCall(ops, "GET", "/control/out-of-service").status(), 405);
+  EXPECT_EQ(AdminCall(ops, "DELETE", "/control/backends/s1/offline").status(), 405);
+  EXPECT_EQ(AdminCall(ops, "PUT", "/control/backends/s2/offline").status(), 404);
+  auto caller = Connection::ConnectTo(ops);
+  EXPECT_EQ(SendRequest(*caller, "no call\r\n\r\n").status(), 400);
+  EXPECT_TRUE(caller->WaitForClose());
+  EXPECT_EQ(SendRequest(*site.gateway->Connect(), "GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(),
+            400)
       << "not for clients";
 }
 
 // Callers that hold a connection without a whole call give way to one that has something to say.
 TEST(Ops, AnswersBesideCallersThatDribble) {
-  Site site(json::array(), {}, LEMONCHUTE_GATEWAY, 0, kOps);
-  int ops = site.gateway->ops_port;
-  std::vector<std::unique_ptr<Wire>> callers;
+  GatewayFixture site(json::array(), {}, LEMONCHUTE_GATEWAY, 0, kAdminEnvironment);
+  int ops = site.gateway->admin_port;
+  std::vector<std::unique_ptr<Connection>> callers;
   for (int i = 0; i < 100; ++i) {
-    callers.push_back(Wire::To(ops));
+    callers.push_back(Connection::ConnectTo(ops));
     callers.back()->Write("GET /cont");
   }
-  EXPECT_EQ(Call(ops, "GET", "/control/ready").status(), 200);
-  EXPECT_TRUE(callers.front()->Ended());
+  EXPECT_EQ(AdminCall(ops, "GET", "/control/ready").status(), 200);
+  EXPECT_TRUE(callers.front()->WaitForClose());
 }
 
 TEST(Ops, CountsEachEndOnceAndEachAttempt) {
   Event held, go;
   std::atomic<int> seen{0};
-  Backend backend([&](const Message&, Wire&) {
-    if (++seen == 3) held.Add(), go.Wait();
-    return seen == 2 ? "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n" : Ok("x");
+  Backend backend([&](const Message&, Connection&) {
+    if (++seen == 3) held.Notify(), go.Wait();
+    return seen == 2 ? "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n" : OkResponse("x");
   });
-  Site site(json::array({Entry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0, kOps);
-  int ops = site.gateway->ops_port;
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0,
+                      kAdminEnvironment);
+  int ops = site.gateway->admin_port;
   auto client = site.gateway->Connect();
-  EXPECT_EQ(Figure(ops, "ok.send-lead"), 0);
-  EXPECT_EQ(Ask(*client, Request("send-lead")).status(), 200);
-  EXPECT_EQ(Ask(*client, Request("send-lead")).status(), 502);
+  EXPECT_EQ(ReadMetric(ops, "ok.send-lead"), 0);
+  EXPECT_EQ(SendRequest(*client, Request("send-lead")).status(), 200);
+  EXPECT_EQ(SendRequest(*client, Request("send-lead")).status(), 502);
   client->Write(Request("send-lead"));
   ASSERT_TRUE(held.Wait());
-  EXPECT_EQ(Figure(ops, "active"), 1);
-  go.Add();
+  EXPECT_EQ(ReadMetric(ops, "active"), 1);
+  go.Notify();
   EXPECT_EQ(client->Read().status(), 200);
-  EXPECT_EQ(Call(ops, "PUT", "/control/backends/s1/offline").status(), 200);
-  EXPECT_EQ(Ask(*client, Request("send-lead")).status(), 503);
-  EXPECT_EQ(Figure(ops, "ok.send-lead"), 2);
-  EXPECT_EQ(Figure(ops, "errors.send-lead"), 1);
-  EXPECT_EQ(Figure(ops, "shed.send-lead"), 1);
-  EXPECT_EQ(Figure(ops, "ok.quote"), 0);
-  EXPECT_EQ(Figure(ops, "tries"), 3);
-  EXPECT_EQ(Figure(ops, "active"), 0);
-  EXPECT_EQ(Figure(ops, "pool_size"), 1);
-  EXPECT_EQ(Figure(ops, "pool_ejected"), 1);
+  EXPECT_EQ(AdminCall(ops, "PUT", "/control/backends/s1/offline").status(), 200);
+  EXPECT_EQ(SendRequest(*client, Request("send-lead")).status(), 503);
+  EXPECT_EQ(ReadMetric(ops, "ok.send-lead"), 2);
+  EXPECT_EQ(ReadMetric(ops, "errors.send-lead"), 1);
+  EXPECT_EQ(ReadMetric(ops, "shed.send-lead"), 1);
+  EXPECT_EQ(ReadMetric(ops, "ok.quote"), 0);
+  EXPECT_EQ(ReadMetric(ops, "tries"), 3);
+  EXPECT_EQ(ReadMetric(ops, "active"), 0);
+  EXPECT_EQ(ReadMetric(ops, "pool_size"), 1);
+  EXPECT_EQ(ReadMetric(ops, "pool_ejected"), 1);
 }
 
 // Taken out by hand: its kept connections end, nothing more goes to it whatever discovery says, also after a
 // start with the same folder, until one call back.
 TEST(Ops, KeepsABackendOfflineUntilItIsCalledBack) {
   Event closed;
-  Backend one([&](const Message&, Wire& wire) {
-    wire.Write(Ok("one"));
-    while (!wire.Ended()) wire.Write(Ok("one"));
-    closed.Add();
+  Backend one([&](const Message&, Connection& wire) {
+    wire.Write(OkResponse("one"));
+    while (!wire.WaitForClose()) wire.Write(OkResponse("one"));
+    closed.Notify();
     return std::string();
   });
-  Folder folder;
-  Process::Environment environment = kOps;
+  TempFolder folder;
+  GatewayProcess::Environment environment = kAdminEnvironment;
   environment["TMPDIR"] = folder.path();
-  json entries = json::array({Entry("s 1", one.port())});
-  auto ask = [](Site& site) { return Ask(*site.gateway->Connect(), Request("quote")); };
+  json entries = json::array({EndpointEntry("s 1", one.port())});
+  auto ask = [](GatewayFixture& site) { return SendRequest(*site.gateway->Connect(), Request("quote")); };
   {
-    Site site(entries, {}, LEMONCHUTE_GATEWAY, 0, environment);
+    GatewayFixture site(entries, {}, LEMONCHUTE_GATEWAY, 0, environment);
     EXPECT_EQ(ask(site).body, "one");
     for (int i = 0; i < 2; ++i) {
-      EXPECT_EQ(Call(site.gateway->ops_port, "PUT", "/control/backends/s%201/offline").status(), 200);
+      EXPECT_EQ(AdminCall(site.gateway->admin_port, "PUT", "/control/backends/s%201/offline").status(), 200);
     }
     EXPECT_TRUE(closed.Wait());
     EXPECT_EQ(ask(site).status(), 503);
-    site.discovery.Set(json::array());
-    site.discovery.Set(entries);
-    EXPECT_TRUE(site.discovery.Told());
+    site.discovery.SetList(json::array());
+    site.discovery.SetList(entries);
+    EXPECT_TRUE(site.discovery.AwaitListApplied());
     EXPECT_EQ(ask(site).status(), 503);
   }
-  Site site(entries, {}, LEMONCHUTE_GATEWAY, 0, environment);
+  GatewayFixture site(entries, {}, LEMONCHUTE_GATEWAY, 0, environment);
   EXPECT_EQ(ask(site).status(), 503);
-  EXPECT_EQ(Call(site.gateway->ops_port, "PUT", "/control/backends/s%201/online").status(), 200);
-  EXPECT_EQ(Figure(site.gateway->ops_port, "pool_ejected"), 0);
+  EXPECT_EQ(AdminCall(site.gateway->admin_port, "PUT", "/control/backends/s%201/online").status(), 200);
+  EXPECT_EQ(ReadMetric(site.gateway->admin_port, "pool_ejected"), 0);
   for (int i = 0; i < 3000 && ask(site).status() != 200; ++i) {  // it is met as cold
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
@@ -639,37 +649,39 @@
 }
 
 TEST(Ops, StartsWithADamagedFileAndSaysNoWhereNothingCanBeKept) {
-  Folder folder;
+  TempFolder folder;
   std::ofstream(folder.path() + "/lb-maintenance.json") << "[\"s1\", 7";
-  Backend backend(Says(Ok("x")));
-  Process::Environment environment = kOps;
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayProcess::Environment environment = kAdminEnvironment;
   environment["TMPDIR"] = folder.path();
-  Site site(json::array({Entry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0, environment);
-  EXPECT_EQ(Ask(*site.gateway->Connect(), Request("quote")).status(), 200);
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0,
+                      environment);
+  EXPECT_EQ(SendRequest(*site.gateway->Connect(), Request("quote")).status(), 200);
   std::filesystem::remove_all(folder.path());
-  EXPECT_EQ(Call(site.gateway->ops_port, "PUT", "/control/backends/s1/offline").status(), 500);
-  EXPECT_EQ(Ask(*site.gateway->Connect(), Request("quote")).status(), 200);
+  EXPECT_EQ(AdminCall(site.gateway->admin_port, "PUT", "/control/backends/s1/offline").status(), 500);
+  EXPECT_EQ(SendRequest(*site.gateway->Connect(), Request("quote")).status(), 200);
 }
 
 // Drained: not ready at once, goes on serving, then lets go of clients' connections, and comes back.
 TEST(Ops, DrainsAndComesBack) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0, kOps);
-  int ops = site.gateway->ops_port;
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0,
+                      kAdminEnvironment);
+  int ops = site.gateway->admin_port;
   auto idle = site.gateway->Connect(), client = site.gateway->Connect();
-  EXPECT_EQ(Ask(*idle, kReady).status(), 200);
-  EXPECT_EQ(Call(ops, "PUT", "/control/out-of-service").status(), 200);
-  EXPECT_EQ(Ask(*client, kReady).status(), 503);
-  EXPECT_EQ(Call(ops, "GET", "/control/ready").status(), 503);
-  EXPECT_EQ(Ask(*client, Request("quote")).status(), 200);
-  EXPECT_TRUE(idle->Ended());
-  Message answer = Ask(*site.gateway->Connect(), Request("quote"));
+  EXPECT_EQ(SendRequest(*idle, kReadinessRequest).status(), 200);
+  EXPECT_EQ(AdminCall(ops, "PUT", "/control/out-of-service").status(), 200);
+  EXPECT_EQ(SendRequest(*client, kReadinessRequest).status(), 503);
+  EXPECT_EQ(AdminCall(ops, "GET", "/control/ready").status(), 503);
+  EXPECT_EQ(SendRequest(*client, Request("quote")).status(), 200);
+  EXPECT_TRUE(idle->WaitForClose());
+  Message answer = SendRequest(*site.gateway->Connect(), Request("quote"));
   EXPECT_EQ(answer.status(), 200);
   EXPECT_EQ(answer.Header("Connection"), "close");
-  EXPECT_EQ(Call(ops, "PUT", "/control/in-service").status(), 200);
+  EXPECT_EQ(AdminCall(ops, "PUT", "/control/in-service").status(), 200);
   client = site.gateway->Connect();
-  EXPECT_EQ(Ask(*client, kReady).status(), 200);
-  EXPECT_EQ(Ask(*client, Request("quote")).Header("Connection"), "");
+  EXPECT_EQ(SendRequest(*client, kReadinessRequest).status(), 200);
+  EXPECT_EQ(SendRequest(*client, Request("quote")).Header("Connection"), "");
 }
 
 // A replaced file counts as a whole: classes come and go and change their effect, and what is held goes on as
@@ -677,40 +689,43 @@
 TEST(Reload, TakesClassesAndRulesForWhatComesAfter) {
   Event held, go;
   std::atomic<bool> fails{false};
-  Backend backend([&](const Message& m, Wire&) {
-    if (m.body == "wait") held.Add(), go.Wait();
-    return fails || m.body == "wait" ? "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n" : Ok("x");
+  Backend backend([&](const Message& m, Connection&) {
+    if (m.body == "wait") held.Notify(), go.Wait();
+    return fails || m.body == "wait" ? "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n" : OkResponse("x");
   });
-  Site site(json::array({Entry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0, kOps);
-  int ops = site.gateway->ops_port;
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0,
+                      kAdminEnvironment);
+  int ops = site.gateway->admin_port;
   auto early = site.gateway->Connect(), client = site.gateway->Connect();
-  EXPECT_EQ(Ask(*client, Fresh("send-lead")).status(), 200);
+  EXPECT_EQ(SendRequest(*client, RequestOfNewCustomer("send-lead")).status(), 200);
   early->Write(Request("send-lead", 1, 3000, "", "wait"));
   ASSERT_TRUE(held.Wait());
-  json config = Config(site.discovery.port(), site.counter.port());
+  json config = DefaultConfig(site.discovery.port(), site.counter.port());
   json& classes = config["settings"]["request-classes"];
   classes[0]["effect"] = "single_shot";  // quote
   classes[2]["name"] = "send-note";      // in place of send-lead
   config["settings"]["limits"]["try-limit"] = 1;
   site.gateway->Reconfigure(config);
-  AwaitFigure(ops, "config_applied", 1);
-  EXPECT_EQ(Ask(*client, Fresh("send-note")).status(), 200);
-  EXPECT_EQ(Ask(*client, Fresh("send-lead")).status(), 400);
-  EXPECT_EQ(Ask(*client, Fresh("quote")).status(), 405) << "now a class that is not safe, so POST";
-  go.Add();
+  AwaitMetric(ops, "config_applied", 1);
+  EXPECT_EQ(SendRequest(*client, RequestOfNewCustomer("send-note")).status(), 200);
+  EXPECT_EQ(SendRequest(*client, RequestOfNewCustomer("send-lead")).status(), 400);
+  EXPECT_EQ(SendRequest(*client, RequestOfNewCustomer("quote")).status(), 405)
+      << "now a class that is not safe, so POST";
+  go.Notify();
   EXPECT_EQ(early->Read().status(), 502) << "a single shot that may have run, as when it came";
-  EXPECT_EQ(Figure(ops, "ok.send-note"), 1);
-  EXPECT_EQ(Figure(ops, "ok.send-lead"), 1) << "a dropped class keeps its counts";
+  EXPECT_EQ(ReadMetric(ops, "ok.send-note"), 1);
+  EXPECT_EQ(ReadMetric(ops, "ok.send-lead"), 1) << "a dropped class keeps its counts";
   fails = true;
   int before = backend.requests.count();
-  EXPECT_EQ(Ask(*client, Request("save-scenario")).status(), 503);
+  EXPECT_EQ(SendRequest(*client, Request("save-scenario")).status(), 503);
   EXPECT_EQ(backend.requests.count(), before + 1) << "attempts have become fewer";
 }
 
 TEST(Reload, TakesNothingFromABrokenFile) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0, kOps);
-  json good = Config(1, 1);  // addresses where nothing is
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0,
+                      kAdminEnvironment);
+  json good = DefaultConfig(1, 1);  // addresses where nothing is
   good["settings"]["request-classes"][2]["name"] = "send-note";
   std::vector<std::string> files = {"", good.dump().substr(0, good.dump().size() / 2)};
   auto with = [&](const char* pointer, const json& value) {
@@ -738,10 +753,11 @@
   long rejected = 0;
   for (const std::string& file : files) {
     site.gateway->Reconfigure(file);
-    AwaitFigure(site.gateway->ops_port, "config_rejected", ++rejected);
-    EXPECT_EQ(Ask(*site.gateway->Connect(), Fresh("send-lead")).status(), 200) << file.substr(0, 200);
+    AwaitMetric(site.gateway->admin_port, "config_rejected", ++rejected);
+    EXPECT_EQ(SendRequest(*site.gateway->Connect(), RequestOfNewCustomer("send-lead")).status(), 200)
+        << file.substr(0, 200);
   }
-  EXPECT_EQ(Figure(site.gateway->ops_port, "config_applied"), 0);
+  EXPECT_EQ(ReadMetric(site.gateway->admin_port, "config_applied"), 0);
 }
 
 // A body that is longer than what is held, and that shows any byte out of its place.
@@ -762,13 +778,13 @@
   return text;
 }
 
-std::string Unchunked(Wire& wire) {
+std::string Unchunked(Connection& wire) {
   std::string body;
   for (;;) {
-    std::string line = wire.Until("\r\n");
+    std::string line = wire.ReadUntil("\r\n");
     size_t size = std::strtoul(line.c_str(), nullptr, 16);
     if (size == 0) return line == "0\r\n" ? body : "no last chunk";
-    if (!wire.Until(size + 2)) return "cut";
+    if (!wire.ReadUntil(size + 2)) return "cut";
     body += wire.unread.substr(0, size);
     wire.unread.erase(0, size + 2);
   }
@@ -780,7 +796,7 @@
   size_t half = 150000;
   for (std::string form : {"length", "chunks", "end"}) {
     Event first;
-    Backend backend([&](const Message&, Wire& wire) {
+    Backend backend([&](const Message&, Connection& wire) {
       bool chunks = form == "chunks";
       std::string head = "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nX-Note: kept\r\n";
       if (form == "length") head += "Content-Length: 300000\r\n";
@@ -790,25 +806,26 @@
       wire.Write(chunks ? Chunks(body.substr(half), 70000) + "0\r\nX-End: 1\r\n\r\n" : body.substr(half));
       return std::string();
     });
-    Site site(json::array({Entry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0, kOps);
+    GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0,
+                        kAdminEnvironment);
     auto client = site.gateway->Connect();
     client->Write(Request("quote"));
-    std::string head = client->Until("\r\n\r\n");
+    std::string head = client->ReadUntil("\r\n\r\n");
     EXPECT_EQ(head.substr(0, 15), "HTTP/1.1 200 OK") << form;
     EXPECT_NE(head.find("X-Note: kept"), std::string::npos) << form;
-    ASSERT_TRUE(client->Until(30000)) << form;
-    EXPECT_EQ(Figure(site.gateway->ops_port, "active"), 1) << "not ended yet";
-    first.Add();
+    ASSERT_TRUE(client->ReadUntil(30000)) << form;
+    EXPECT_EQ(ReadMetric(site.gateway->admin_port, "active"), 1) << "not ended yet";
+    first.Notify();
     if (form == "length") {
-      ASSERT_TRUE(client->Until(body.size()));
+      ASSERT_TRUE(client->ReadUntil(body.size()));
       EXPECT_EQ(client->unread, body);
       client->unread.clear();
     } else {
       EXPECT_EQ(Unchunked(*client), body) << form;
-      EXPECT_EQ(client->Until("\r\n"), "\r\n");
+      EXPECT_EQ(client->ReadUntil("\r\n"), "\r\n");
     }
-    AwaitFigure(site.gateway->ops_port, "ok.quote", 1);
-    EXPECT_EQ(Ask(*client, kReady).status(), 200) << "kept: " << form;
+    AwaitMetric(site.gateway->admin_port, "ok.quote", 1);
+    EXPECT_EQ(SendRequest(*client, kReadinessRequest).status(), 200) << "kept: " << form;
     EXPECT_EQ(backend.requests.count(), 1);
   }
 }
@@ -817,24 +834,25 @@
 TEST(Stream, CutsAnAnswerThatBreaksOff) {
   std::string body = Long(100000);
   for (bool chunks : {false, true}) {
-    Backend backend([&](const Message&, Wire& wire) {
+    Backend backend([&](const Message&, Connection& wire) {
       wire.Write(std::string("HTTP/1.1 200 OK\r\n") +
                  (chunks ? "Transfer-Encoding: chunked\r\n\r\n" + Chunks(body, 5000)
                          : "Content-Length: 200000\r\n\r\n" + body));
       return std::string();
     });
-    Site site(json::array({Entry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0, kOps);
+    GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0,
+                        kAdminEnvironment);
     auto client = site.gateway->Connect();
     client->Write(Request("quote"));
-    EXPECT_NE(client->Until("\r\n\r\n"), "");
+    EXPECT_NE(client->ReadUntil("\r\n\r\n"), "");
     if (chunks) {
       EXPECT_EQ(Unchunked(*client), "no last chunk");
     } else {
-      while (client->More()) {
+      while (client->ReadMore()) {
       }
       EXPECT_EQ(client->unread, body);
     }
-    AwaitFigure(site.gateway->ops_port, "errors.quote", 1);
+    AwaitMetric(site.gateway->admin_port, "errors.quote", 1);
     EXPECT_EQ(backend.requests.count(), 1);
   }
 }
@@ -843,7 +861,7 @@
 TEST(Stream, HoldsNoMoreThanAPieceForASlowClient) {
   constexpr size_t kSize = size_t{32} << 20;
   std::atomic<size_t> written{0};
-  Backend backend([&](const Message&, Wire& wire) {
+  Backend backend([&](const Message&, Connection& wire) {
     wire.Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kSize) + "\r\n\r\n");
     std::string part(1 << 20, 'b');
     for (size_t at = 0; at < kSize; written = at) {
@@ -852,10 +870,10 @@
     }
     return std::string();
   });
-  Site site(json::array({Entry("s1", backend.port())}));
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}));
   auto client = site.gateway->Connect();
   client->Write(Request("quote"));
-  ASSERT_NE(client->Until("\r\n\r\n"), "");
+  ASSERT_NE(client->ReadUntil("\r\n\r\n"), "");
   for (size_t last = 1, now = 0; last != now || now == 0;) {  // until its backend has come to rest
     last = written;
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
@@ -864,13 +882,13 @@
   EXPECT_LT(written, kSize);
   size_t got = client->unread.size();
   client->unread.clear();
-  while (got < kSize && client->More()) {
+  while (got < kSize && client->ReadMore()) {
     got += client->unread.size();
     client->unread.clear();
   }
   EXPECT_EQ(got, kSize);
-  EXPECT_GT(site.gateway->MostMemory(), 0);
-  EXPECT_LT(site.gateway->MostMemory(), 24 << 10);
+  EXPECT_GT(site.gateway->PeakMemoryKb(), 0);
+  EXPECT_LT(site.gateway->PeakMemoryKb(), 24 << 10);
 }
 
 // Where memory is short less is held: what would fit elsewhere is passed on as it comes.
@@ -878,27 +896,27 @@
   std::string body = Long(40000);
   constexpr int kClients = 6;
   Event all, first;
-  Backend backend([&](const Message&, Wire& wire) {
-    all.Add();
+  Backend backend([&](const Message&, Connection& wire) {
+    all.Notify();
     EXPECT_TRUE(all.Wait(kClients)) << "each is to have a sixth of the budget";
     wire.Write("HTTP/1.1 200 OK\r\nContent-Length: 40000\r\n\r\n" + body.substr(0, 20000));
     EXPECT_TRUE(first.Wait());
     wire.Write(body.substr(20000));
     return std::string();
   });
-  json config = Config(0, 0);
+  json config = DefaultConfig(0, 0);
   config["limits"]["memory_mb"] = 1;
   json entries = json::array();
   for (int i = 0; i < 8; ++i)
-    entries.push_back(Entry(std::string("s").append(std::to_string(i)), backend.port()));
-  Site site(entries, config);
-  std::vector<std::unique_ptr<Wire>> clients;
+    entries.push_back(EndpointEntry(std::string("s").append(std::to_string(i)), backend.port()));
+  GatewayFixture site(entries, config);
+  std::vector<std::unique_ptr<Connection>> clients;
   for (int i = 0; i < kClients; ++i) clients.push_back(site.gateway->Connect());
-  for (auto& client : clients) client->Write(Fresh("quote"));
-  for (auto& client : clients) EXPECT_NE(client->Until("\r\n\r\n"), "");
-  first.Add();
+  for (auto& client : clients) client->Write(RequestOfNewCustomer("quote"));
+  for (auto& client : clients) EXPECT_NE(client->ReadUntil("\r\n\r\n"), "");
+  first.Notify();
   for (auto& client : clients) {
-    EXPECT_TRUE(client->Until(body.size()));
+    EXPECT_TRUE(client->ReadUntil(body.size()));
     EXPECT_EQ(client->unread, body);
   }
 }
@@ -910,45 +928,47 @@
   for (bool chunks : {false, true}) {
     Event first, done;
     std::string seen, head;
-    Server backend([&](Wire& wire) {
-      head = wire.Until("\r\n\r\n");
-      wire.Until(30000);
-      first.Add();
+    Server backend([&](Connection& wire) {
+      head = wire.ReadUntil("\r\n\r\n");
+      wire.ReadUntil(30000);
+      first.Notify();
       if (chunks) {
         seen = Unchunked(wire);
-        wire.Until("\r\n");
+        wire.ReadUntil("\r\n");
       } else {
-        wire.Until(body.size());
+        wire.ReadUntil(body.size());
         seen = wire.unread;
       }
-      wire.Write(Ok("done"));
-      done.Add();
-      wire.Ended();
+      wire.Write(OkResponse("done"));
+      done.Notify();
+      wire.WaitForClose();
     });
-    Site site(json::array({Entry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0, kOps);
+    GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0,
+                        kAdminEnvironment);
     auto client = site.gateway->Connect();
     client->Write(Request("send-lead", 1, 3000,
                           std::string("Expect: 100-Continue\r\n") +
                               (chunks ? "Transfer-Encoding: Chunked\r\n" : "Content-Length: 300000\r\n")));
-    EXPECT_EQ(client->Until("\r\n\r\n"), "HTTP/1.1 100 Continue\r\n\r\n");
+    EXPECT_EQ(client->ReadUntil("\r\n\r\n"), "HTTP/1.1 100 Continue\r\n\r\n");
     client->Write(chunks ? Chunks(body.substr(0, half), 999) : body.substr(0, half));
     ASSERT_TRUE(first.Wait()) << chunks;
-    EXPECT_EQ(Figure(site.gateway->ops_port, "tries"), 0) << "its last byte is not out";
+    EXPECT_EQ(ReadMetric(site.gateway->admin_port, "tries"), 0) << "its last byte is not out";
     client->Write(chunks ? Chunks(body.substr(half), 70000) + "0\r\nX-End: 1\r\n\r\n" : body.substr(half));
     EXPECT_EQ(client->Read().body, "done");
     ASSERT_TRUE(done.Wait());
     EXPECT_EQ(seen, body) << chunks;
     EXPECT_NE(head.find("Request-Id: "), std::string::npos);
-    EXPECT_EQ(Figure(site.gateway->ops_port, "tries"), 1);
-    EXPECT_EQ(Ask(*client, kReady).status(), 200) << "kept";
+    EXPECT_EQ(ReadMetric(site.gateway->admin_port, "tries"), 1);
+    EXPECT_EQ(SendRequest(*client, kReadinessRequest).status(), 200) << "kept";
   }
 }
 
 // A body that has gone out in part is not held, so it is not sent again; it has not run, so it is refused at
 // once.
 TEST(Stream, NeverSendsABodyAgainThatIsNotHeld) {
-  Server backend([](Wire& wire) { wire.Until(100000); });
-  Site site(json::array({Entry("s1", backend.port()), Entry("s2", backend.port())}));
+  Server backend([](Connection& wire) { wire.ReadUntil(100000); });
+  GatewayFixture site(
+      json::array({EndpointEntry("s1", backend.port()), EndpointEntry("s2", backend.port())}));
   auto client = site.gateway->Connect();
   client->Write(Request("save-scenario", 1, 600000, "Content-Length: 300000\r\n"));
   client->Write(Long(200000));
@@ -960,8 +980,8 @@
 
 // Framing that another reader could take otherwise reaches no backend.
 TEST(Stream, RefusesFramingInDoubt) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}));
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}));
   std::string chunked = "Transfer-Encoding: chunked\r\n";
   for (std::string framing :
        {"Content-Length: 4\r\n" + chunked, chunked + "Content-Length: 4\r\n", chunked + chunked,
@@ -972,7 +992,7 @@
     auto client = site.gateway->Connect();
     client->Write(Request("send-lead", 1, 3000, framing) + "0\r\n\r\nGET /quote HTTP/1.1\r\n");
     EXPECT_EQ(client->Read().status(), 400) << framing;
-    EXPECT_TRUE(client->Ended()) << framing;
+    EXPECT_TRUE(client->WaitForClose()) << framing;
   }
   auto client = site.gateway->Connect();
   std::string old = Request("send-lead", 1, 3000, chunked) + "0\r\n\r\n";
@@ -983,55 +1003,56 @@
 
 // Every connection is answered by the one process or the other: those that the old one took by the old one.
 TEST(Upgrade, TheNextProcessTakesOverAndNothingIsTurnedBack) {
-  Upgrade upgrade;
+  UpgradeFixture upgrade;
   auto old = upgrade.Start();
-  Upgrade::AwaitReady(*old);
+  UpgradeFixture::AwaitReady(*old);
   auto waiting = old->Connect(), early = old->Connect();
-  EXPECT_EQ(Ask(*early, Request("quote")).status(), 200);
+  EXPECT_EQ(SendRequest(*early, Request("quote")).status(), 200);
   waiting->Write(Request("send-lead", 1, 3000, "", "wait"));
   ASSERT_TRUE(upgrade.held.Wait());
   auto next = upgrade.Start();
   EXPECT_EQ(next->port, old->port);
-  Upgrade::AwaitReady(*next);
-  EXPECT_EQ(Ask(*early, Request("quote")).status(), 200) << "beside the next one it serves on";
+  UpgradeFixture::AwaitReady(*next);
+  EXPECT_EQ(SendRequest(*early, Request("quote")).status(), 200) << "beside the next one it serves on";
   old->Signal(SIGTERM);
   Message answer;
   for (int i = 0; i < 3000 && answer.Header("Connection") != "close"; ++i)
-    answer = Ask(*early, Fresh("quote"));
+    answer = SendRequest(*early, RequestOfNewCustomer("quote"));
   EXPECT_EQ(answer.status(), 200);
-  for (int i = 0; i < 50; ++i) EXPECT_EQ(Ask(*next->Connect(), Fresh("quote")).status(), 200) << i;
-  upgrade.go.Add();
+  for (int i = 0; i < 50; ++i)
+    EXPECT_EQ(SendRequest(*next->Connect(), RequestOfNewCustomer("quote")).status(), 200) << i;
+  upgrade.go.Notify();
   EXPECT_EQ(waiting->Read().status(), 200);
-  EXPECT_EQ(old->Exit(), 0);
+  EXPECT_EQ(old->WaitForExit(), 0);
   old.reset();
   auto client = next->Connect();
-  EXPECT_EQ(Ask(*client, Request("quote")).status(), 200) << "the shared socket goes on listening";
-  EXPECT_EQ(Figure(next->ops_port, "errors.quote"), 0);
+  EXPECT_EQ(SendRequest(*client, Request("quote")).status(), 200) << "the shared socket goes on listening";
+  EXPECT_EQ(ReadMetric(next->admin_port, "errors.quote"), 0);
 }
 
 // What an operator tells one process binds the other and the next, also after a kill.
 TEST(Upgrade, MaintenanceBindsBothProcesses) {
-  Upgrade upgrade;
+  UpgradeFixture upgrade;
   auto old = upgrade.Start();
-  Upgrade::AwaitReady(*old);
+  UpgradeFixture::AwaitReady(*old);
   auto next = upgrade.Start();
-  Upgrade::AwaitReady(*next);
-  EXPECT_EQ(Call(next->ops_port, "PUT", "/control/backends/s1/offline").status(), 200);
-  for (int i = 0; i < 3000 && Figure(old->ops_port, "pool_ejected") != 1; ++i) {
+  UpgradeFixture::AwaitReady(*next);
+  EXPECT_EQ(AdminCall(next->admin_port, "PUT", "/control/backends/s1/offline").status(), 200);
+  for (int i = 0; i < 3000 && ReadMetric(old->admin_port, "pool_ejected") != 1; ++i) {
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
-  EXPECT_EQ(Figure(old->ops_port, "pool_ejected"), 1);
+  EXPECT_EQ(ReadMetric(old->admin_port, "pool_ejected"), 1);
   next->Signal(SIGKILL);
-  EXPECT_EQ(next->Exit(), -SIGKILL);
-  EXPECT_EQ(Ask(*old->Connect(), Request("quote")).status(), 503);
+  EXPECT_EQ(next->WaitForExit(), -SIGKILL);
+  EXPECT_EQ(SendRequest(*old->Connect(), Request("quote")).status(), 503);
   next = upgrade.Start();
-  Upgrade::AwaitReady(*next);
-  EXPECT_EQ(Figure(next->ops_port, "pool_ejected"), 1);
+  UpgradeFixture::AwaitReady(*next);
+  EXPECT_EQ(ReadMetric(next->admin_port, "pool_ejected"), 1);
 }
 
 // A file that is there means nothing by itself; a lock on it ends with its holder.
 TEST(PeerProcess, IsSeenWhileItLives) {
-  Folder folder;
+  TempFolder folder;
   std::ofstream(folder.path() + "/lb-processes") << "left behind";
   lemonchute::net::PeerProcess one(folder.path());
   EXPECT_FALSE(one.Alive());
@@ -1049,8 +1070,8 @@
   lemonchute::net::BackendIds one([](std::string_view) { return 7u; }),
       two([](std::string_view) { return 7u; });
   lemonchute::policy::SocketSettings site;
-  json ab = {{"index", 1}, {"snapshot", true}, {"endpoints", {Entry("a", 1), Entry("b", 2)}}};
-  json ba = {{"index", 1}, {"snapshot", true}, {"endpoints", {Entry("b", 2), Entry("a", 1)}}};
+  json ab = {{"index", 1}, {"snapshot", true}, {"endpoints", {EndpointEntry("a", 1), EndpointEntry("b", 2)}}};
+  json ba = {{"index", 1}, {"snapshot", true}, {"endpoints", {EndpointEntry("b", 2), EndpointEntry("a", 1)}}};
   auto first = lemonchute::net::ParseList(ab, site, &one),
        second = lemonchute::net::ParseList(ba, site, &two);
   EXPECT_NE(first.entries[0].backend.id, first.entries[1].backend.id);
@@ -1064,7 +1085,7 @@
       : client(io, {boost::asio::ip::address_v4::loopback(), static_cast<uint16_t>(port)}, timeout_s, 5,
                [this](lemonchute::policy::CounterResponse a) { answers.push_back(a); }) {}
   void Until(const std::function<bool()>& done) {
-    auto end = std::chrono::steady_clock::now() + std::chrono::seconds(kLimitS);
+    auto end = std::chrono::steady_clock::now() + std::chrono::seconds(kEventTimeoutS);
     while (!done() && std::chrono::steady_clock::now() < end) io.run_one_for(std::chrono::milliseconds(50));
     EXPECT_TRUE(done());
   }
@@ -1078,13 +1099,13 @@
   Event go;
   Counter counter([&](const std::string&, double amount) {
     if (amount == 1) go.Wait();
-    return Bulk(std::to_string(amount));
+    return BulkString(std::to_string(amount));
   });
   Calls calls(counter.port(), 0.5);
   calls.client.Call(11, 1, 5);
   calls.Until([&] { return calls.answers.size() == 1; });
   EXPECT_EQ(calls.answers[0].result, lemonchute::policy::AttemptResult::kTimeout) << "it may have been added";
-  go.Add();
+  go.Notify();
   for (int i = 0; i < 20; ++i) {
     calls.client.Call(20 + i, 2 + i, 5);
     calls.Until([&] { return calls.answers.size() == 2 + static_cast<size_t>(i); });
@@ -1117,7 +1138,8 @@
 // An unreadable answer ends its connection, not the dealings with a counter that has answered on it before.
 TEST(CounterClient, CallsOnAtOnceAfterAnUnreadableAnswer) {
   std::atomic<int> seen{0};
-  Counter counter([&](const std::string&, double) { return ++seen % 2 == 1 ? Bulk("5") : "$3\r\nabc\r\n"; });
+  Counter counter(
+      [&](const std::string&, double) { return ++seen % 2 == 1 ? BulkString("5") : "$3\r\nabc\r\n"; });
   Calls calls(counter.port(), 30);
   for (size_t i = 0; i < 20; ++i) {
     calls.client.Call(i, 1, 5);
@@ -1132,7 +1154,7 @@
 // are opened anew.
 TEST(CounterClient, BoundsItsQueuesAndReconnects) {
   std::atomic<bool> silent{true};
-  Counter counter([&](const std::string&, double) { return silent ? std::string() : Bulk("5"); });
+  Counter counter([&](const std::string&, double) { return silent ? std::string() : BulkString("5"); });
   Calls calls(counter.port(), 0.05);
   for (int i = 0; i < 5000; ++i) calls.client.Call(i, 1, 5);
   calls.Until([&] { return calls.answers.size() == 5000; });
--- a/tests/measure.cpp
+++ b/tests/measure.cpp
@@ -12,7 +12,7 @@
 
 constexpr int kBackends = 200, kCustomers = 20000, kClients = 8, kChanges = 60;
 
-double CpuS(const Process& process) {
+double CpuS(const GatewayProcess& process) {
   std::ifstream in("/proc/" + std::to_string(process.pid()) + "/stat");
   std::string text((std::istreambuf_iterator<char>(in)), {});
   std::istringstream fields(text.substr(text.rfind(')') + 2));
@@ -24,7 +24,7 @@
 }
 
 // Each of `requests` is of the next of `customers`.
-int Load(const Process& gateway, int requests, int customers) {
+int Load(const GatewayProcess& gateway, int requests, int customers) {
   std::atomic<int> next{0}, served{0};
   std::vector<std::thread> clients;
   for (int c = 0; c < kClients; ++c) {
@@ -34,7 +34,7 @@
         std::string request = Request("quote");
         char customer[9];
         std::snprintf(customer, sizeof(customer), "%08x", i % customers + 1);
-        served += Ask(*wire, request.replace(request.find("b4d65521"), 8, customer)).status() == 200;
+        served += SendRequest(*wire, request.replace(request.find("b4d65521"), 8, customer)).status() == 200;
       }
     });
   }
@@ -48,18 +48,18 @@
 }
 
 int Measure(const char* program, const std::string& what) {
-  Backend backend(Says(Ok("x")));
+  Backend backend(RespondsWith(OkResponse("x")));
   json entries = json::array();
   for (int i = 0; i < kBackends; ++i)
-    entries.push_back(Entry(std::string("s").append(std::to_string(i)), backend.port()));
-  Folder folder;
-  Process::Environment environment = kOps;
+    entries.push_back(EndpointEntry(std::string("s").append(std::to_string(i)), backend.port()));
+  TempFolder folder;
+  GatewayProcess::Environment environment = kAdminEnvironment;
   environment["TMPDIR"] = folder.path();
-  json config = Config(0, 0);
+  json config = DefaultConfig(0, 0);
   config["settings"]["specifics"]["may-count"] = false;
   config["settings"]["tiers-of-service"][1]["store-size"] = 8;
-  Site site(entries, config, program, 0, environment);
-  int ops = site.gateway->ops_port;
+  GatewayFixture site(entries, config, program, 0, environment);
+  int ops = site.gateway->admin_port;
   Load(*site.gateway, kCustomers, kCustomers);
   if (what == "cpu") {
     double before = CpuS(*site.gateway);
@@ -77,7 +77,7 @@
     auto wire = site.gateway->Connect();
     while (!done) {
       auto begun = Clock::now();
-      Ask(*wire, kReady);
+      SendRequest(*wire, kReadinessRequest);
       std::lock_guard lock(mutex);
       longest = std::max(longest, ms(Clock::now() - begun));
     }
@@ -86,7 +86,7 @@
     std::lock_guard lock(mutex);
     return std::exchange(longest, 0);
   };
-  json fresh = json::parse(Call(ops, "GET", "/control/config/running").body);
+  json fresh = json::parse(AdminCall(ops, "GET", "/control/config/running").body);
   std::vector<double> puts, quiet, waits;
   for (int i = 1; i <= kChanges; ++i) {
     fresh["settings"]["tiers-of-service"][0]["units-per-s"] = 10 + i % 5;  // every customer's bucket
@@ -95,7 +95,7 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
     quiet.push_back(taken());
     auto begun = Clock::now();
-    Message answer = Call(ops, "PUT", "/control/config?base=" + std::to_string(i), fresh.dump());
+    Message answer = AdminCall(ops, "PUT", "/control/config?base=" + std::to_string(i), fresh.dump());
     puts.push_back(ms(Clock::now() - begun));
     waits.push_back(taken());
     if (answer.status() != 200) std::printf("put: %s\n", answer.body.c_str());
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -14,7 +14,7 @@
 
 bool SocketFree(int port) {
   sockaddr_in at;
-  close(Loopback(&at, port));
+  close(MakeLoopbackSocket(&at, port));
   int fd = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
   bool free = bind(fd, reinterpret_cast<sockaddr*>(&at), sizeof(at)) == 0;
   close(fd);
@@ -25,7 +25,7 @@
   PeerFleet fleet(2, json());
   // An address that is really free, so that a process that wanted it would have it.
   sockaddr_in at;
-  close(Loopback(&at, 0));
+  close(MakeLoopbackSocket(&at, 0));
   int probe = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
   ASSERT_EQ(bind(probe, reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0);
   socklen_t size = sizeof(at);
@@ -36,7 +36,7 @@
   EXPECT_TRUE(SocketFree(fleet.net.Listen(0)));
   json members = fleet.Members(0);
   EXPECT_EQ(members, (json{{"on", false}, {"speaks", false}}));
-  EXPECT_EQ(Call(fleet.gateways[0]->ops_port, "GET", "/control/counters").body.find("members"),
+  EXPECT_EQ(AdminCall(fleet.gateways[0]->admin_port, "GET", "/control/counters").body.find("members"),
             std::string::npos);
   EXPECT_EQ(fleet.net.Sent(), 0);
   // Switched on at SIGHUP it speaks, switched off again it lets go.
@@ -78,21 +78,21 @@
   fleet.gateways[1]->Signal(SIGCONT);
   EXPECT_SOON(fleet.All(kAll, 1, "alive") && fleet.Agree(kAll));
   // A drain is a planned leave, and back in service is back.
-  Call(fleet.gateways[3]->ops_port, "PUT", "/control/out-of-service");
+  AdminCall(fleet.gateways[3]->admin_port, "PUT", "/control/out-of-service");
   EXPECT_SOON(fleet.All(kAll, 3, "left") && fleet.Agree(kAll));
-  Call(fleet.gateways[3]->ops_port, "PUT", "/control/in-service");
+  AdminCall(fleet.gateways[3]->admin_port, "PUT", "/control/in-service");
   EXPECT_SOON(fleet.All(kAll, 3, "alive") && fleet.Agree(kAll));
   // SIGTERM too, and it is never taken for a death.
   const std::vector<int> left = {0, 1, 2, 3};
   std::vector<long> deaths = fleet.Deaths(left);
   fleet.gateways[4]->Signal(SIGTERM);
-  EXPECT_EQ(fleet.gateways[4]->Exit(), 0);
+  EXPECT_EQ(fleet.gateways[4]->WaitForExit(), 0);
   fleet.gateways[4].reset();
   EXPECT_SOON(fleet.All(left, 4, "left") && fleet.Agree(left));
   EXPECT_EQ(fleet.Deaths(left), deaths);
   fleet.gateways[0]->Signal(SIGTERM);
-  EXPECT_EQ(fleet.gateways[0]->Exit(), 0);
-  EXPECT_NE(fleet.gateways[0]->rest.find("members: 2 is dead"), std::string::npos);
+  EXPECT_EQ(fleet.gateways[0]->WaitForExit(), 0);
+  EXPECT_NE(fleet.gateways[0]->late_log.find("members: 2 is dead"), std::string::npos);
   fleet.gateways[0].reset();
   EXPECT_LE(fleet.net.longest(), 256u);
 }
@@ -125,7 +125,7 @@
   EXPECT_FALSE(PeerFleet::MembersOf(*fresh).at("speaks"));  // one of the two
   EXPECT_TRUE(fleet.Members(1).at("speaks"));
   fleet.gateways[1]->Signal(SIGTERM);
-  EXPECT_EQ(fleet.gateways[1]->Exit(), 0);
+  EXPECT_EQ(fleet.gateways[1]->WaitForExit(), 0);
   fleet.gateways[1] = std::move(fresh);
   EXPECT_SOON(fleet.Agree({0, 1, 2}));
   // Killed beside the other process, likewise.
@@ -147,7 +147,7 @@
   // Two know of it, and two have not been told yet; nobody dies of that.
   EXPECT_SOON(fleet.State(0, 3) == "alive" && Incarnation(fleet, 0, 3) > 0);
   EXPECT_EQ(fleet.Members(1).at("members").size(), 3u);
-  EXPECT_SOON(Figure(fleet.gateways[1]->ops_port, "members_dropped_stranger") > 0);
+  EXPECT_SOON(ReadMetric(fleet.gateways[1]->admin_port, "members_dropped_stranger") > 0);
   for (int m : {1, 2}) fleet.gateways[static_cast<size_t>(m)]->Reconfigure(fleet.ConfigOf(m, 4));
   EXPECT_SOON(fleet.Agree({0, 1, 2, 3}) && fleet.Members(1).at("states").at("alive") == 4);
   EXPECT_EQ(fleet.Members(1).at("runs").size(), 1u);
@@ -161,9 +161,9 @@
   fleet.StartAll();
   ASSERT_SOON(fleet.Agree({0, 1, 2}));
   std::string sound = fleet.net.Last(1), other = fleet.net.Last(2);
-  int ops = fleet.gateways[0]->ops_port;
+  int ops = fleet.gateways[0]->admin_port;
   auto counted = [&](const std::string& reason, long least) {
-    return Figure(ops, "members_dropped_" + reason) >= least;
+    return ReadMetric(ops, "members_dropped_" + reason) >= least;
   };
   auto bent = [&](size_t at, char to) {
     std::string bytes = sound;
@@ -189,7 +189,7 @@
   EXPECT_LT(fleet.net.Sent() - before, 10000);
   EXPECT_SOON(fleet.Agree({0, 1, 2}) && fleet.Members(0).at("states").at("alive") == 3);
   auto client = fleet.gateways[0]->Connect();
-  EXPECT_EQ(Ask(*client, kReady).status(), 200);
+  EXPECT_EQ(SendRequest(*client, kReadinessRequest).status(), 200);
 }
 
 TEST(Members, TwoThatClaimOneNumberAreNamedAndNotFoughtOver) {
@@ -202,16 +202,16 @@
   copied["peer_listen"] = fleet.ConfigOf(0).at("peer_listen");
   fleet.Start(0, copied);
   fleet.net.SetListen(0, std::stoi(copied.at("peer_listen").get<std::string>().substr(10)));
-  EXPECT_SOON(Figure(fleet.gateways[1]->ops_port, "members_dropped_misnumbered") > 0);
-  EXPECT_SOON(Figure(fleet.gateways[0]->ops_port, "members_dropped_claimed") > 0);
+  EXPECT_SOON(ReadMetric(fleet.gateways[1]->admin_port, "members_dropped_misnumbered") > 0);
+  EXPECT_SOON(ReadMetric(fleet.gateways[0]->admin_port, "members_dropped_claimed") > 0);
   EXPECT_SOON(fleet.Members(0).at("verdict") == "cut off");
   EXPECT_SOON(fleet.Agree({1, 2, 3}) && fleet.All({1, 2, 3}, 2, "alive") && fleet.All({1, 2, 3}, 0, "dead"));
   // What is there goes on under its incarnation, however long the other one claims.
   uint32_t first = Incarnation(fleet, 1, 2);
-  long refuted = Figure(fleet.gateways[2]->ops_port, "members_refuted");
-  long heard = Figure(fleet.gateways[2]->ops_port, "members_heard");
-  EXPECT_SOON(Figure(fleet.gateways[2]->ops_port, "members_heard") > heard + 100);
-  EXPECT_LE(Figure(fleet.gateways[2]->ops_port, "members_refuted"), refuted + 1);
+  long refuted = ReadMetric(fleet.gateways[2]->admin_port, "members_refuted");
+  long heard = ReadMetric(fleet.gateways[2]->admin_port, "members_heard");
+  EXPECT_SOON(ReadMetric(fleet.gateways[2]->admin_port, "members_heard") > heard + 100);
+  EXPECT_LE(ReadMetric(fleet.gateways[2]->admin_port, "members_refuted"), refuted + 1);
   EXPECT_LE(Incarnation(fleet, 1, 2), first + 1);
 }
 
@@ -237,8 +237,8 @@
     json config = fleet.ConfigOf(0);
     c.spoil(config);
     auto process = fleet.NewProcess(config, 0);
-    EXPECT_EQ(process->Exit(), 1) << c.names;
-    EXPECT_NE(process->line.find(c.names), std::string::npos) << process->line;
+    EXPECT_EQ(process->WaitForExit(), 1) << c.names;
+    EXPECT_NE(process->listen_line.find(c.names), std::string::npos) << process->listen_line;
   }
 }
 
--- a/tests/peer_fleet.h
+++ b/tests/peer_fleet.h
@@ -59,7 +59,7 @@
   // As if member `from` had sent it; -1: from an address that is nobody's.
   void Inject(int from, int to, const std::string& bytes) {
     sockaddr_in at;
-    close(Loopback(&at, Listen(to)));
+    close(MakeLoopbackSocket(&at, Listen(to)));
     sendto(from < 0 ? stranger_ : sockets_[static_cast<size_t>(from)], bytes.data(), bytes.size(), 0,
            reinterpret_cast<sockaddr*>(&at), sizeof(at));
   }
@@ -67,7 +67,7 @@
  private:
   static int Open(int* port) {
     sockaddr_in at;
-    close(Loopback(&at, 0));
+    close(MakeLoopbackSocket(&at, 0));
     int fd = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
     EXPECT_EQ(bind(fd, reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0);
     socklen_t size = sizeof(at);
@@ -104,7 +104,7 @@
     int port = listens_[static_cast<size_t>(to)];
     if (port == 0 || !passes_(from, to)) return;
     sockaddr_in there;
-    close(Loopback(&there, port));
+    close(MakeLoopbackSocket(&there, port));
     sendto(sockets_[static_cast<size_t>(from)], bytes, static_cast<size_t>(n), 0,
            reinterpret_cast<sockaddr*>(&there), sizeof(there));
   }
@@ -125,11 +125,11 @@
  public:
   explicit PeerFleet(int members, json extensions = {{"membership", json::object()}})
       : net(members), extensions_(std::move(extensions)), folders_(static_cast<size_t>(members)) {
-    discovery_.Set(json::array({Entry("s1", backend_.port())}));
+    discovery_.SetList(json::array({EndpointEntry("s1", backend_.port())}));
     gateways.resize(static_cast<size_t>(members));
   }
   json ConfigOf(int m, int members) {
-    json config = Config(discovery_.port(), counter_.port());
+    json config = DefaultConfig(discovery_.port(), counter_.port());
     config["name"] = "n" + std::to_string(m);
     config["settings"]["me"] = m, config["settings"]["peers-total"] = members;
     // A period of 0.1 s, so that what has to be seen is soon seen.
@@ -140,18 +140,19 @@
     return config;
   }
   json ConfigOf(int m) { return ConfigOf(m, static_cast<int>(gateways.size())); }
-  std::unique_ptr<Process> NewProcess(const json& config, int m) {
-    return std::make_unique<Process>(
+  std::unique_ptr<GatewayProcess> NewProcess(const json& config, int m) {
+    return std::make_unique<GatewayProcess>(
         config, LEMONCHUTE_GATEWAY, 0,
-        Process::Environment{{"LB_OPS", "127.0.0.1:0"}, {"TMPDIR", folders_[static_cast<size_t>(m)].path()}});
+        GatewayProcess::Environment{{"LB_OPS", "127.0.0.1:0"},
+                                    {"TMPDIR", folders_[static_cast<size_t>(m)].path()}});
   }
   void Start(int m, const json& config) {
     auto& gateway = gateways[static_cast<size_t>(m)];
     gateway = NewProcess(config, m);
-    EXPECT_NE(gateway->port, 0) << gateway->line;
-    size_t at = gateway->earlier.find("speaks at 127.0.0.1:");
+    EXPECT_NE(gateway->port, 0) << gateway->listen_line;
+    size_t at = gateway->early_log.find("speaks at 127.0.0.1:");
     if (at != std::string::npos)
-      net.SetListen(m, std::atoi(gateway->earlier.c_str() + gateway->earlier.find(':', at) + 1));
+      net.SetListen(m, std::atoi(gateway->early_log.c_str() + gateway->early_log.find(':', at) + 1));
   }
   void Start(int m) { Start(m, ConfigOf(m)); }
   void StartAll() {
@@ -160,12 +161,12 @@
   void Kill(int m) {
     auto& gateway = gateways[static_cast<size_t>(m)];
     gateway->Signal(SIGKILL);
-    EXPECT_EQ(gateway->Exit(), -SIGKILL);
+    EXPECT_EQ(gateway->WaitForExit(), -SIGKILL);
     gateway.reset();
   }
   json Members(int m) const { return MembersOf(*gateways[static_cast<size_t>(m)]); }
-  static json MembersOf(const Process& process) {
-    return json::parse(Call(process.ops_port, "GET", "/control/members").body, nullptr, false);
+  static json MembersOf(const GatewayProcess& process) {
+    return json::parse(AdminCall(process.admin_port, "GET", "/control/members").body, nullptr, false);
   }
   // What `at` believes of `m`.
   std::string State(int at, int m) const {
@@ -178,7 +179,8 @@
   // How often each has taken anyone for dead.
   std::vector<long> Deaths(const std::vector<int>& at) const {
     std::vector<long> all;
-    for (int one : at) all.push_back(Figure(gateways[static_cast<size_t>(one)]->ops_port, "members_deaths"));
+    for (int one : at)
+      all.push_back(ReadMetric(gateways[static_cast<size_t>(one)]->admin_port, "members_deaths"));
     return all;
   }
   // One digest, and that verdict everywhere.
@@ -191,25 +193,25 @@
   }
 
   PeerNet net;
-  std::vector<std::unique_ptr<Process>> gateways;
+  std::vector<std::unique_ptr<GatewayProcess>> gateways;
 
  private:
   json extensions_;
-  std::vector<Folder> folders_;
-  Counter counter_{[](const std::string&, double) { return Bulk("0"); }};
-  Backend backend_{Says(Ok("x"))};
+  std::vector<TempFolder> folders_;
+  Counter counter_{[](const std::string&, double) { return BulkString("0"); }};
+  Backend backend_{RespondsWith(OkResponse("x"))};
   Discovery discovery_;
 };
 
 // Asks again until it holds.
 template <typename Holds>
 ::testing::AssertionResult Await(const char* what, Holds holds) {
-  auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(kLimitS);
+  auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(kEventTimeoutS);
   while (std::chrono::steady_clock::now() < limit) {
     if (holds()) return ::testing::AssertionSuccess();
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
-  return ::testing::AssertionFailure() << "has not come in " << kLimitS << " s: " << what;
+  return ::testing::AssertionFailure() << "has not come in " << kEventTimeoutS << " s: " << what;
 }
 #define EXPECT_SOON(...) EXPECT_TRUE(Await(#__VA_ARGS__, [&] { return __VA_ARGS__; }))
 #define ASSERT_SOON(...) ASSERT_TRUE(Await(#__VA_ARGS__, [&] { return __VA_ARGS__; }))
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -15,7 +15,7 @@
 using lemonchute::net::RevisionLog;
 
 json Sound(int tries = 6) {
-  json config = Config(1, 1);
+  json config = DefaultConfig(1, 1);
   config["listen"] = "127.0.0.1:5000";
   config["settings"]["tiers-of-service"][1]["store-size"] = 8;  // holds the largest request
   config["settings"]["limits"]["try-limit"] = tries;
@@ -39,7 +39,8 @@
 
 // A keeper alone, with a holder that notes what it is given.
 struct Alone {
-  explicit Alone(const Folder& folder, const json& file = Sound(), RevisionLog::FailureInjector fails = {})
+  explicit Alone(const TempFolder& folder, const json& file = Sound(),
+                 RevisionLog::FailureInjector fails = {})
       : path(folder.path() + "/file"), keeper(io, path, folder.path(), std::move(fails)) {
     if (!file.is_null()) Write(path, file.dump());
     runs = keeper.LoadInitial();
@@ -65,7 +66,7 @@
   }
   int Tries() const { return runs["settings"]["limits"]["try-limit"].get<int>(); }
   void Until(const std::function<bool()>& done) {
-    auto end = std::chrono::steady_clock::now() + std::chrono::seconds(kLimitS);
+    auto end = std::chrono::steady_clock::now() + std::chrono::seconds(kEventTimeoutS);
     while (!done() && std::chrono::steady_clock::now() < end) {
       io.restart();
       io.run_one_for(std::chrono::milliseconds(50));
@@ -85,7 +86,7 @@
 }
 
 TEST(Keeper, PutsConfirmsReturnsAndRollsBack) {
-  Folder folder;
+  TempFolder folder;
   Alone one(folder);
   EXPECT_EQ(one.Call("PUT", Base(one.Summary()), Sound(5)).status, 200);
   EXPECT_EQ(one.Tries(), 5);
@@ -114,7 +115,7 @@
 }
 
 TEST(Keeper, EachNoNamesItsReasonAndChangesNothing) {
-  Folder folder;
+  TempFolder folder;
   Alone one(folder);
   json bad = Sound(5);
   bad["settings"]["limits"].erase("cancel");
@@ -155,7 +156,7 @@
 }
 
 TEST(Keeper, ACheckChangesNothing) {
-  Folder folder;
+  TempFolder folder;
   Alone one(folder);
   const auto before = Contents(folder.path());
   lemonchute::net::AdminResponse answer = one.Call("POST", "/check", Sound(5));
@@ -176,7 +177,7 @@
   for (auto step : {RevisionLog::Step::kOpen, RevisionLog::Step::kWrite, RevisionLog::Step::kSync,
                     RevisionLog::Step::kRename}) {
     for (int error : {ENOSPC, EROFS, EIO}) {
-      Folder folder;
+      TempFolder folder;
       bool fails = false;
       Alone one(folder, Sound(), [&](RevisionLog::Step at) { return fails && at == step ? error : 0; });
       const auto before = Contents(folder.path());
@@ -195,7 +196,7 @@
       EXPECT_EQ(one.Tries(), 5);
     }
   }
-  Folder folder;
+  TempFolder folder;
   Alone one(folder);
   const auto before = Contents(folder.path());
   one.refuses = true;  // the gateway can't prepare it
@@ -212,7 +213,7 @@
 
 // The platform's word is taken even where it can't be kept; it is kept once that is possible.
 TEST(Keeper, SighupIsTakenOnAFullDisk) {
-  Folder folder;
+  TempFolder folder;
   bool fails = false;
   Alone one(folder, Sound(),
             [&](RevisionLog::Step at) { return fails && at == RevisionLog::Step::kWrite ? ENOSPC : 0; });
@@ -233,7 +234,7 @@
 }
 
 TEST(Keeper, SighupEndsATrialAndWinsOverAPut) {
-  Folder folder;
+  TempFolder folder;
   Alone one(folder);
   EXPECT_EQ(one.Call("PUT", "?base=1&confirm_s=0.05", Sound(5)).status, 200);
   Write(one.path, Sound(4).dump());
@@ -243,7 +244,7 @@
   EXPECT_EQ(one.Call("PUT", "?base=2", Sound(3)).status, 409) << "made against what runs no more";
   one.io.poll();  // of the cancelled wait
   one.io.restart();
-  EXPECT_EQ(one.io.run_one_for(std::chrono::seconds(kLimitS)), 0u) << "the trial's timer is gone";
+  EXPECT_EQ(one.io.run_one_for(std::chrono::seconds(kEventTimeoutS)), 0u) << "the trial's timer is gone";
   one.keeper.OnReloadSignal();
   one.keeper.OnReloadSignal();
   EXPECT_EQ(one.Figure("config_applied"), 3);
@@ -252,7 +253,7 @@
 
 // While the way back can't be gone, what is there stays, and is tried once.
 TEST(Keeper, AWayBackThatIsClosedEndsTheTrial) {
-  Folder folder;
+  TempFolder folder;
   Alone one(folder);
   EXPECT_EQ(one.Call("PUT", "?base=1&confirm_s=0.02", Sound(5)).status, 200);
   one.refuses = true;
@@ -265,7 +266,7 @@
 TEST(Keeper, StartsByTheLastGoodConfigurationBesideABrokenFile) {
   for (const std::string& broken : {std::string(), std::string("{\"name\": "), Sound().dump().substr(0, 400),
                                     json{{"name", "x"}}.dump()}) {
-    Folder folder;
+    TempFolder folder;
     { Alone one(folder); }
     Write(folder.path() + "/file", broken);
     Alone next(folder, nullptr);
@@ -283,7 +284,7 @@
 
 TEST(Keeper, WithoutAFileAndARecordItDoesNotStart) {
   for (const char* record : {"", "{}", "not a record\n"}) {
-    Folder folder;
+    TempFolder folder;
     Write(folder.path() + "/lb-config.json", record);
     EXPECT_THROW(Alone(folder, nullptr), lemonchute::policy::ProtocolError);
     Alone one(folder);
@@ -294,7 +295,7 @@
 // Two processes of one gateway: whichever is told, both end on the same revision, and the trial's limit is
 // kept by whichever is there.
 TEST(Keeper, TwoProcessesEndOnTheSameRevision) {
-  Folder folder;
+  TempFolder folder;
   auto old = std::make_unique<Alone>(folder);
   EXPECT_EQ(old->Call("PUT", "?base=1&confirm_s=3600", Sound(5)).status, 200);
   Alone next(folder, nullptr);
@@ -325,7 +326,7 @@
 }
 
 TEST(Keeper, WhileTheOtherProcessHoldsTheRecordPutsAreAskedToComeAgain) {
-  Folder folder;
+  TempFolder folder;
   Alone one(folder);
   RevisionLog other(folder.path());
   std::optional<RevisionLog::Lock> lock;
@@ -341,7 +342,7 @@
 }
 
 TEST(Keeper, AfterSigtermOperatorsChangeNothing) {
-  Folder folder;
+  TempFolder folder;
   Alone one(folder);
   one.keeper.StopUpdates();
   EXPECT_EQ(one.Call("PUT", "?base=1", Sound(5)).status, 409);
@@ -352,7 +353,7 @@
 
 // A file as large as no file should be is turned down without being read.
 TEST(Keeper, TurnsDownAFileOfAHundredMegabytesAtOnce) {
-  Folder folder;
+  TempFolder folder;
   Alone one(folder);
   int file = open((one.path + ".big").c_str(), O_WRONLY | O_CREAT, 0600);
   ASSERT_EQ(ftruncate(file, 100 << 20), 0);
@@ -370,27 +371,28 @@
   config["listen"] = "127.0.0.1:0";
   return config;
 }
-json SoundFor(const Site& site, int tries = 6) {
+json SoundFor(const GatewayFixture& site, int tries = 6) {
   json config = ToStart(tries);
   config["discovery"] = "127.0.0.1:" + std::to_string(site.discovery.port());
   config["counter"] = "127.0.0.1:" + std::to_string(site.counter.port());
   return config;
 }
 json Read(int ops, const std::string& target = "") {
-  return json::parse(Call(ops, "GET", "/control/config" + target).body);
+  return json::parse(AdminCall(ops, "GET", "/control/config" + target).body);
 }
 Message Put(int ops, const json& config, const std::string& more = "") {
   std::string base_revision = Read(ops)["running"].dump();
-  return Call(ops, "PUT", "/control/config?base=" + base_revision + more, config.dump());
+  return AdminCall(ops, "PUT", "/control/config?base=" + base_revision + more, config.dump());
 }
 
 TEST(Door, TakesBodiesOfBoundedSizeAndSaysWhatItMisses) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}), ToStart(), LEMONCHUTE_GATEWAY, 0, kOps);
-  int ops = site.gateway->ops_port;
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}), ToStart(), LEMONCHUTE_GATEWAY, 0,
+                      kAdminEnvironment);
+  int ops = site.gateway->admin_port;
   auto status = [&](const std::string& text) {
-    auto caller = Wire::To(ops);
-    return Ask(*caller, text).status();
+    auto caller = Connection::ConnectTo(ops);
+    return SendRequest(*caller, text).status();
   };
   const std::string put = "PUT /control/config?base=1 HTTP/1.1\r\nHost: ops\r\n";
   EXPECT_EQ(status(put + "\r\n"), 411);
@@ -410,15 +412,15 @@
     std::snprintf(size, sizeof(size), "%zx\r\n", part.size());
     chunks += size + part + "\r\n";
   }
-  std::vector<std::unique_ptr<Wire>> callers;  // beside callers that dribble their bodies
+  std::vector<std::unique_ptr<Connection>> callers;  // beside callers that dribble their bodies
   for (int i = 0; i < 40; ++i) {
-    callers.push_back(Wire::To(ops));
+    callers.push_back(Connection::ConnectTo(ops));
     callers.back()->Write(put + "Content-Length: 100000\r\n\r\n{\"name\"");
   }
   EXPECT_EQ(status(put + "Transfer-Encoding: chunked\r\n\r\n" + chunks + "0\r\n\r\n"), 200);
   EXPECT_EQ(Read(ops, "/running"), fresh);
   EXPECT_EQ(Read(ops, "/revisions/1")["settings"]["limits"]["try-limit"], 6);
-  EXPECT_EQ(Figure(ops, "config_revision"), 2);
+  EXPECT_EQ(ReadMetric(ops, "config_revision"), 2);
 }
 
 // Limits, zones and plans take hold at once, and a customer of a dropped plan goes on under another.
@@ -427,16 +429,16 @@
   // further request's far ones one at least has not answered yet, and costs less than any near one whatever
   // that has been seen to take.
   constexpr int kFar = 12;
-  Backend near(Says(Ok("near"))), far(Says(Ok("far")));
-  json entries = json::array({Entry("s1", near.port())});
+  Backend near(RespondsWith(OkResponse("near"))), far(RespondsWith(OkResponse("far")));
+  json entries = json::array({EndpointEntry("s1", near.port())});
   for (int i = 0; i < kFar; ++i) {
-    entries.push_back(Entry(std::string("t").append(std::to_string(i)), far.port()));
+    entries.push_back(EndpointEntry(std::string("t").append(std::to_string(i)), far.port()));
     entries.back()["zone"] = "c";
   }
-  Site site(entries, ToStart(), LEMONCHUTE_GATEWAY, 0, kOps);
-  int ops = site.gateway->ops_port;
+  GatewayFixture site(entries, ToStart(), LEMONCHUTE_GATEWAY, 0, kAdminEnvironment);
+  int ops = site.gateway->admin_port;
   auto client = site.gateway->Connect();
-  EXPECT_EQ(Ask(*client, Request("quote")).status(), 200);
+  EXPECT_EQ(SendRequest(*client, Request("quote")).status(), 200);
   json config = Read(ops, "/running");
   config["settings"]["zones"] = {"b", "c"};
   config["settings"]["zone"] = 1;  // now in the far one's
@@ -445,67 +447,67 @@
   config["settings"]["tiers-of-service"][0]["units-per-s"] = 100;
   config["settings"]["tiers-of-service"][0]["store-size"] = 400;
   config["limits"]["sockets"] = 512;
-  int lists = site.discovery.relisted.count();
+  int lists = site.discovery.full_lists_applied.count();
   Message answer = Put(ops, config);
   ASSERT_EQ(answer.status(), 200) << answer.body;
-  ASSERT_TRUE(site.discovery.relisted.Wait(lists + 1)) << "read anew, by the new names of zones";
-  EXPECT_EQ(Ask(*client, Request("quote")).status(), 400) << "business is gone";
+  ASSERT_TRUE(site.discovery.full_lists_applied.Wait(lists + 1)) << "read anew, by the new names of zones";
+  EXPECT_EQ(SendRequest(*client, Request("quote")).status(), 400) << "business is gone";
   for (int i = 0; i < kFar; ++i) {
     std::string request = Request("quote");  // of the same customer
-    answer = Ask(*client, request.replace(request.find("business"), 8, "gold"));
+    answer = SendRequest(*client, request.replace(request.find("business"), 8, "gold"));
     EXPECT_EQ(answer.status(), 200);
     EXPECT_EQ(answer.body, "far") << "its own zone goes first: " << i;
   }
-  EXPECT_EQ(Call(ops, "PUT", "/control/config/rollback").status(), 200);
-  EXPECT_EQ(Ask(*client, Request("quote")).status(), 200);
+  EXPECT_EQ(AdminCall(ops, "PUT", "/control/config/rollback").status(), 200);
+  EXPECT_EQ(SendRequest(*client, Request("quote")).status(), 200);
 }
 
 // Where descriptors are short, connections to backends are; more of them are of use at once.
 TEST(Reload, MoreDescriptorsMakeRoomAtOnce) {
   Event held, go;
-  Backend backend([&](const Message&, Wire&) { return held.Add(), go.Wait(), Ok("x"); });
+  Backend backend([&](const Message&, Connection&) { return held.Notify(), go.Wait(), OkResponse("x"); });
   json config = ToStart(), entries = json::array();
   config["limits"]["sockets"] = 64;  // of which 8 are for backends
   for (const char* name : {"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"}) {
-    entries.push_back(Entry(name, backend.port()));
+    entries.push_back(EndpointEntry(name, backend.port()));
   }
-  Site site(entries, config, LEMONCHUTE_GATEWAY, 0, kOps);
-  std::vector<std::unique_ptr<Wire>> clients;
+  GatewayFixture site(entries, config, LEMONCHUTE_GATEWAY, 0, kAdminEnvironment);
+  std::vector<std::unique_ptr<Connection>> clients;
   auto hold = [&](int held_then) {
     clients.push_back(site.gateway->Connect());
-    clients.back()->Write(Fresh("send-lead"));
+    clients.back()->Write(RequestOfNewCustomer("send-lead"));
     return held.Wait(held_then);
   };
   for (int i = 1; i <= 8; ++i) ASSERT_TRUE(hold(i));
-  EXPECT_EQ(Ask(*site.gateway->Connect(), Fresh("send-lead")).status(), 503);
-  json more = Read(site.gateway->ops_port, "/running");
+  EXPECT_EQ(SendRequest(*site.gateway->Connect(), RequestOfNewCustomer("send-lead")).status(), 503);
+  json more = Read(site.gateway->admin_port, "/running");
   more["limits"]["sockets"] = 256;
-  EXPECT_EQ(Put(site.gateway->ops_port, more).status(), 200);
+  EXPECT_EQ(Put(site.gateway->admin_port, more).status(), 200);
   EXPECT_TRUE(hold(9));
-  go.Add();
+  go.Notify();
   for (auto& client : clients) EXPECT_EQ(client->Read().status(), 200);
 }
 
 // A start beside a broken file goes by the last good one, says so, and is ready.
 TEST(Reload, StartsBesideABrokenFile) {
-  Folder folder;
-  Process::Environment environment = kOps;
+  TempFolder folder;
+  GatewayProcess::Environment environment = kAdminEnvironment;
   environment["TMPDIR"] = folder.path();
-  Backend backend(Says(Ok("x")));
+  Backend backend(RespondsWith(OkResponse("x")));
   Discovery discovery;
-  discovery.Set(json::array({Entry("s1", backend.port())}));
-  json config = Config(discovery.port(), 1);
-  { Process first(config, LEMONCHUTE_GATEWAY, 0, environment); }
-  Process gateway(std::string("{\"name\": \"n0\", "), LEMONCHUTE_GATEWAY, 0, environment);
-  ASSERT_NE(gateway.port, 0) << gateway.line;
-  EXPECT_NE(gateway.earlier.find("LAST GOOD CONFIGURATION"), std::string::npos) << gateway.earlier;
-  Upgrade::AwaitReady(gateway);
-  EXPECT_EQ(Ask(*gateway.Connect(), Request("quote")).body, "x");
-  EXPECT_EQ(Figure(gateway.ops_port, "config_started_by_record"), 1);
+  discovery.SetList(json::array({EndpointEntry("s1", backend.port())}));
+  json config = DefaultConfig(discovery.port(), 1);
+  { GatewayProcess first(config, LEMONCHUTE_GATEWAY, 0, environment); }
+  GatewayProcess gateway(std::string("{\"name\": \"n0\", "), LEMONCHUTE_GATEWAY, 0, environment);
+  ASSERT_NE(gateway.port, 0) << gateway.listen_line;
+  EXPECT_NE(gateway.early_log.find("LAST GOOD CONFIGURATION"), std::string::npos) << gateway.early_log;
+  UpgradeFixture::AwaitReady(gateway);
+  EXPECT_EQ(SendRequest(*gateway.Connect(), Request("quote")).body, "x");
+  EXPECT_EQ(ReadMetric(gateway.admin_port, "config_started_by_record"), 1);
 }
 
 TEST(Reload, ChecksAFileWithoutListening) {
-  Folder folder;
+  TempFolder folder;
   std::string path = folder.path() + "/file";
   auto check = [&](const std::string& text) {
     Write(path, text);
@@ -531,53 +533,54 @@
 // Signals at odd times: in drain, and while the process ends.
 TEST(Reload, IsTakenInDrainAndWhileEnding) {
   Event held, go;
-  Backend backend([&](const Message& m, Wire&) {
-    if (m.body == "wait") held.Add(), go.Wait();
-    return Ok("x");
+  Backend backend([&](const Message& m, Connection&) {
+    if (m.body == "wait") held.Notify(), go.Wait();
+    return OkResponse("x");
   });
-  Site site(json::array({Entry("s1", backend.port())}), ToStart(), LEMONCHUTE_GATEWAY, 0, kOps);
-  int ops = site.gateway->ops_port;
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}), ToStart(), LEMONCHUTE_GATEWAY, 0,
+                      kAdminEnvironment);
+  int ops = site.gateway->admin_port;
   auto waiting = site.gateway->Connect(), client = site.gateway->Connect();
-  EXPECT_EQ(Call(ops, "PUT", "/control/out-of-service").status(), 200);
+  EXPECT_EQ(AdminCall(ops, "PUT", "/control/out-of-service").status(), 200);
   json config = SoundFor(site, 3);
   site.gateway->Reconfigure(config);
-  AwaitFigure(ops, "config_applied", 1);
-  EXPECT_EQ(Call(ops, "PUT", "/control/in-service").status(), 200);
-  EXPECT_EQ(Ask(*client, kReady).status(), 200);
+  AwaitMetric(ops, "config_applied", 1);
+  EXPECT_EQ(AdminCall(ops, "PUT", "/control/in-service").status(), 200);
+  EXPECT_EQ(SendRequest(*client, kReadinessRequest).status(), 200);
   waiting->Write(Request("send-lead", 1, 3000, "", "wait"));
   ASSERT_TRUE(held.Wait());
   site.gateway->Signal(SIGTERM);
-  for (int i = 0; i < 3000 && Call(ops, "PUT", "/control/in-service").status() != 409; ++i) {
+  for (int i = 0; i < 3000 && AdminCall(ops, "PUT", "/control/in-service").status() != 409; ++i) {
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
   EXPECT_EQ(Put(ops, SoundFor(site, 2)).status(), 409);
   site.gateway->Reconfigure(SoundFor(site, 4));
-  AwaitFigure(ops, "config_applied", 2);
-  go.Add();
+  AwaitMetric(ops, "config_applied", 2);
+  go.Notify();
   EXPECT_EQ(waiting->Read().status(), 200);
-  EXPECT_EQ(site.gateway->Exit(), 0);
+  EXPECT_EQ(site.gateway->WaitForExit(), 0);
 }
 
 // Two processes of an upgrade: a put on trial outlives the old one, and is taken back in time by the new one.
 TEST(Upgrade, BothProcessesEndOnTheSameRevision) {
-  Upgrade upgrade;
+  UpgradeFixture upgrade;
   auto old = upgrade.Start();
-  Upgrade::AwaitReady(*old);
-  json config = Read(old->ops_port, "/running");
+  UpgradeFixture::AwaitReady(*old);
+  json config = Read(old->admin_port, "/running");
   config["settings"]["tiers-of-service"][1]["store-size"] = 8;
-  EXPECT_EQ(Put(old->ops_port, config).status(), 200);
+  EXPECT_EQ(Put(old->admin_port, config).status(), 200);
   auto next = upgrade.Start();
-  Upgrade::AwaitReady(*next);
-  EXPECT_EQ(Figure(next->ops_port, "config_revision"), 2);
+  UpgradeFixture::AwaitReady(*next);
+  EXPECT_EQ(ReadMetric(next->admin_port, "config_revision"), 2);
   config["settings"]["limits"]["try-limit"] = 2;
-  EXPECT_EQ(Put(next->ops_port, config, "&confirm_s=1").status(), 200);
-  AwaitFigure(old->ops_port, "config_revision", 3);
-  EXPECT_EQ(Read(old->ops_port)["history"], Read(next->ops_port)["history"]);
+  EXPECT_EQ(Put(next->admin_port, config, "&confirm_s=1").status(), 200);
+  AwaitMetric(old->admin_port, "config_revision", 3);
+  EXPECT_EQ(Read(old->admin_port)["history"], Read(next->admin_port)["history"]);
   next->Signal(SIGKILL);
-  EXPECT_EQ(next->Exit(), -SIGKILL);
-  AwaitFigure(old->ops_port, "config_revision", 4);
-  EXPECT_EQ(Read(old->ops_port)["history"][0]["from"], "return");
-  EXPECT_EQ(Read(old->ops_port, "/running")["settings"]["limits"]["try-limit"], 6);
+  EXPECT_EQ(next->WaitForExit(), -SIGKILL);
+  AwaitMetric(old->admin_port, "config_revision", 4);
+  EXPECT_EQ(Read(old->admin_port)["history"][0]["from"], "return");
+  EXPECT_EQ(Read(old->admin_port, "/running")["settings"]["limits"]["try-limit"], 6);
 }
 
 // Revisions put, confirmed, left to return, rolled back and replaced at random under load: each request gets
@@ -586,20 +589,21 @@
   for (unsigned seed : {1u, 2u, 3u}) {
     std::mutex mutex;
     std::map<std::string, int> seen;
-    Backend backend([&](const Message& m, Wire&) {
+    Backend backend([&](const Message& m, Connection&) {
       std::lock_guard lock(mutex);
       ++seen[m.Header("Request-Id")];
-      return Ok(m.Header("Request-Id"));
+      return OkResponse(m.Header("Request-Id"));
     });
-    Folder folder;
-    Process::Environment environment = kOps;
+    TempFolder folder;
+    GatewayProcess::Environment environment = kAdminEnvironment;
     environment["TMPDIR"] = folder.path();
     json first = ToStart();
     json& plan = first["settings"]["tiers-of-service"][0];
     plan["units-per-s"] = 1e6;
     plan["store-size"] = 1e6;
-    Site site(json::array({Entry("s1", backend.port())}), first, LEMONCHUTE_GATEWAY, 0, environment);
-    int ops = site.gateway->ops_port;
+    GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}), first, LEMONCHUTE_GATEWAY, 0,
+                        environment);
+    int ops = site.gateway->admin_port;
     std::atomic<bool> done{false};
     std::atomic<int> ok{0}, other{0}, wrong{0};
     std::vector<std::thread> clients;
@@ -613,12 +617,12 @@
           if (i % 7 == c) request.replace(0, 3, "POST");
           size_t at = request.find("Request-Id: ") + 12;
           std::string id = request.substr(at, request.find('\r', at) - at);
-          Message answer = Ask(*wire, request);
+          Message answer = SendRequest(*wire, request);
           int status = answer.status();
           bool allowed = status == 200 || status == 400 || status == 405 || status == 429 || status == 503;
           if (!allowed || (status == 200 && answer.body != id)) ++wrong;
           ++(status == 200 ? ok : other);
-          if (!wire->Open()) wire = site.gateway->Connect();
+          if (!wire->IsOpen()) wire = site.gateway->Connect();
         }
       });
     }
@@ -641,16 +645,16 @@
       }
       switch (random() % 5) {
         case 0: {
-          long applied = Figure(ops, "config_applied");
+          long applied = ReadMetric(ops, "config_applied");
           site.gateway->Reconfigure(config);
-          AwaitFigure(ops, "config_applied", applied + 1);
+          AwaitMetric(ops, "config_applied", applied + 1);
           break;
         }
-        case 1: Call(ops, "PUT", "/control/config/rollback"); break;
+        case 1: AdminCall(ops, "PUT", "/control/config/rollback"); break;
         case 2: put(config, "&confirm_s=0.01"); break;
         case 3:
           put(config, "&confirm_s=60");
-          Call(ops, "PUT", "/control/config/confirm?revision=" + Read(ops)["running"].dump());
+          AdminCall(ops, "PUT", "/control/config/confirm?revision=" + Read(ops)["running"].dump());
           break;
         default: put(config, "");
       }
@@ -662,24 +666,25 @@
     EXPECT_GT(other, 0);
     EXPECT_EQ(static_cast<int>(seen.size()), ok) << "a backend made each answer";
     for (const auto& [id, times] : seen) EXPECT_EQ(times, 1) << id;
-    EXPECT_EQ(Figure(ops, "ok.quote") + std::max(0L, Figure(ops, "ok.extra")), ok);
-    EXPECT_EQ(Figure(ops, "active"), 0);
+    EXPECT_EQ(ReadMetric(ops, "ok.quote") + std::max(0L, ReadMetric(ops, "ok.extra")), ok);
+    EXPECT_EQ(ReadMetric(ops, "active"), 0);
   }
 }
 
 // 2,000 revisions in a row, each with a class, a plan and a zone that were never there: nothing grows.
 TEST(Reload, TwoThousandInARowLeaveNothingBehind) {
-  Backend backend(Says(Ok("x")));
-  Folder folder;
-  Process::Environment environment = kOps;
+  Backend backend(RespondsWith(OkResponse("x")));
+  TempFolder folder;
+  GatewayProcess::Environment environment = kAdminEnvironment;
   environment["TMPDIR"] = folder.path();
-  Site site(json::array({Entry("s1", backend.port())}), ToStart(), LEMONCHUTE_GATEWAY, 0, environment);
-  int ops = site.gateway->ops_port;
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}), ToStart(), LEMONCHUTE_GATEWAY, 0,
+                      environment);
+  int ops = site.gateway->admin_port;
   std::atomic<bool> done{false};
   std::thread load([&] {
     auto wire = site.gateway->Connect();
     while (!done) {
-      int status = Ask(*wire, Request("quote")).status();
+      int status = SendRequest(*wire, Request("quote")).status();
       EXPECT_TRUE(status == 200 || status == 429 || status == 503) << status;
     }
   });
@@ -692,17 +697,18 @@
     config["settings"]["tiers-of-service"][1]["name"] = "plan-" + n;
     config["settings"]["zones"][1] = "zone-" + n;
     std::string base_revision = std::to_string(i + 1);
-    ASSERT_EQ(Call(ops, "PUT", "/control/config?base=" + base_revision, config.dump()).status(), 200) << i;
-    if (i == 500) memory = site.gateway->MostMemory(), descriptors = site.gateway->Descriptors();
+    ASSERT_EQ(AdminCall(ops, "PUT", "/control/config?base=" + base_revision, config.dump()).status(), 200)
+        << i;
+    if (i == 500) memory = site.gateway->PeakMemoryKb(), descriptors = site.gateway->CountDescriptors();
   }
   done = true;
   load.join();
-  EXPECT_EQ(Figure(ops, "config_revision"), 2001);
+  EXPECT_EQ(ReadMetric(ops, "config_revision"), 2001);
 #ifndef __SANITIZE_ADDRESS__  // which keeps what was freed
-  EXPECT_LE(site.gateway->MostMemory(), memory + 512) << "kB, since the first 500 of them";
+  EXPECT_LE(site.gateway->PeakMemoryKb(), memory + 512) << "kB, since the first 500 of them";
 #endif
-  EXPECT_LE(site.gateway->Descriptors(), descriptors + 2);
-  EXPECT_LE(Call(ops, "GET", "/control/counters").body.size(), 8192u);
+  EXPECT_LE(site.gateway->CountDescriptors(), descriptors + 2);
+  EXPECT_LE(AdminCall(ops, "GET", "/control/counters").body.size(), 8192u);
   EXPECT_EQ(Read(ops)["history"].size(), lemonchute::config::kMaxRevisions);
 }
 
--- a/tests/system_fault_test.cpp
+++ b/tests/system_fault_test.cpp
@@ -12,22 +12,22 @@
 using namespace rig;  // NOLINT
 using Clock = std::chrono::steady_clock;
 
-Process::Environment With(const std::string& faults, Process::Environment more = {}) {
+GatewayProcess::Environment With(const std::string& faults, GatewayProcess::Environment more = {}) {
   more["LD_PRELOAD"] = LEMONCHUTE_FAULTS_LIBRARY;
   more["LEMONCHUTE_FAULTS"] = faults;
   return more;
 }
 
-json One(const Backend& backend) { return json::array({Entry("s1", backend.port())}); }
+json One(const Backend& backend) { return json::array({EndpointEntry("s1", backend.port())}); }
 
 // A short write says nothing of the room that is left: the rest goes out without a further event from the
 // kernel.
 TEST(ShortTransfers, LongAnswersAndRequestsArriveWhole) {
   const std::string body(20000, 'x');
-  Backend backend(Says(Ok(body)));
-  Site site(One(backend), {}, LEMONCHUTE_GATEWAY, 0, With("seed=3;send.short=0.9;recv.short=0.3"));
+  Backend backend(RespondsWith(OkResponse(body)));
+  GatewayFixture site(One(backend), {}, LEMONCHUTE_GATEWAY, 0, With("seed=3;send.short=0.9;recv.short=0.3"));
   auto client = site.gateway->Connect();
-  Message answer = Ask(*client, Request("save-scenario", 1, 1400, "", std::string(3000, 'y')));
+  Message answer = SendRequest(*client, Request("save-scenario", 1, 1400, "", std::string(3000, 'y')));
   EXPECT_EQ(answer.status(), 200);
   EXPECT_EQ(answer.body, body);
   ASSERT_TRUE(backend.requests.Wait());
@@ -37,9 +37,10 @@
 // An accept that fails on account of one connection says nothing of those behind it in the queue. The first
 // call finds it empty; the second is made when a client has come.
 TEST(Accepting, AnAbortedConnectionDoesNotHoldUpTheNextOne) {
-  Backend backend(Says(Ok("x")));
+  Backend backend(RespondsWith(OkResponse("x")));
   for (const char* error : {"ECONNABORTED", "EPROTO", "ENFILE", "EINTR", "EHOSTUNREACH"}) {
-    Site site(One(backend), {}, LEMONCHUTE_GATEWAY, 0, With(std::string("accept.") + error + "=#2"));
+    GatewayFixture site(One(backend), {}, LEMONCHUTE_GATEWAY, 0,
+                        With(std::string("accept.") + error + "=#2"));
     auto client = site.gateway->Connect();
     client->Write(Request("quote"));
     EXPECT_EQ(client->Read().status(), 200) << error;
@@ -48,72 +49,76 @@
 
 // A socket that can't be had for a moment at the start delays it and no more.
 TEST(Starting, AFailingSocketCallIsTriedAgain) {
-  Backend backend(Says(Ok("x")));
+  Backend backend(RespondsWith(OkResponse("x")));
   for (const char* faults :
        {"socket.ENFILE=#1-6", "bind.EADDRINUSE=#1-2", "listen.EADDRINUSE=#1", "socket.ENOBUFS=#2"}) {
-    Site site(One(backend), {}, LEMONCHUTE_GATEWAY, 0, With(faults, kOps));
+    GatewayFixture site(One(backend), {}, LEMONCHUTE_GATEWAY, 0, With(faults, kAdminEnvironment));
     ASSERT_NE(site.gateway->port, 0) << faults;
-    EXPECT_EQ(Ask(*site.gateway->Connect(), Request("quote")).status(), 200) << faults;
-    EXPECT_EQ(Call(site.gateway->ops_port, "GET", "/control/ready").status(), 200) << faults;
+    EXPECT_EQ(SendRequest(*site.gateway->Connect(), Request("quote")).status(), 200) << faults;
+    EXPECT_EQ(AdminCall(site.gateway->admin_port, "GET", "/control/ready").status(), 200) << faults;
   }
 }
 
 // A signal that comes while the process starts, here as it reads its configuration, counts once it runs.
 TEST(Starting, ASignalDuringTheStartIsKeptUntilTheProcessRuns) {
-  Backend backend(Says(Ok("x")));
-  Site site(One(backend), {}, LEMONCHUTE_GATEWAY, 0, With("open-read.raise-hup=#1", kOps));
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture site(One(backend), {}, LEMONCHUTE_GATEWAY, 0,
+                      With("open-read.raise-hup=#1", kAdminEnvironment));
   ASSERT_NE(site.gateway->port, 0);
-  AwaitFigure(site.gateway->ops_port, "config_applied", 1);
-  EXPECT_EQ(Ask(*site.gateway->Connect(), Request("quote")).status(), 200);
+  AwaitMetric(site.gateway->admin_port, "config_applied", 1);
+  EXPECT_EQ(SendRequest(*site.gateway->Connect(), Request("quote")).status(), 200);
 }
 
 // A configuration that can't be read for a moment, at the start or at SIGHUP, is read again.
 TEST(Starting, AConfigurationThatCannotBeReadForAMomentIsReadAgain) {
-  Backend backend(Says(Ok("x")));
-  Site site(One(backend), {}, LEMONCHUTE_GATEWAY, 0, With("open-read.EIO=#1-2;open-read.EMFILE=#4-5", kOps));
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture site(One(backend), {}, LEMONCHUTE_GATEWAY, 0,
+                      With("open-read.EIO=#1-2;open-read.EMFILE=#4-5", kAdminEnvironment));
   ASSERT_NE(site.gateway->port, 0);
   site.gateway->Signal(SIGHUP);
-  AwaitFigure(site.gateway->ops_port, "config_applied", 1);
-  EXPECT_EQ(Figure(site.gateway->ops_port, "config_rejected"), 0);
+  AwaitMetric(site.gateway->admin_port, "config_applied", 1);
+  EXPECT_EQ(ReadMetric(site.gateway->admin_port, "config_rejected"), 0);
 }
 
 // A shortage of this machine's is no fault of the backends: a connect is tried again, and no backend is set
 // aside.
 TEST(Connecting, AShortageOfThisMachineIsNoFaultOfTheBackends) {
-  Backend one(Says(Ok("x"))), two(Says(Ok("x")));
+  Backend one(RespondsWith(OkResponse("x"))), two(RespondsWith(OkResponse("x")));
   for (const char* error : {"EADDRNOTAVAIL", "ENETUNREACH", "EINTR"}) {
-    Site site(
-        json::array({Entry("s1", one.port()), Entry("s2", two.port())}), {}, LEMONCHUTE_GATEWAY, 0,
-        With(std::string("connect.") + error + "=#3-10", kOps));  // after the counter's and discovery's own
+    GatewayFixture site(json::array({EndpointEntry("s1", one.port()), EndpointEntry("s2", two.port())}), {},
+                        LEMONCHUTE_GATEWAY, 0,
+                        With(std::string("connect.") + error + "=#3-10",
+                             kAdminEnvironment));  // after the counter's and discovery's own
     auto client = site.gateway->Connect();
-    for (int i = 0; i < 5; ++i) EXPECT_EQ(Ask(*client, Fresh("save-scenario")).status(), 200) << error;
-    EXPECT_EQ(Figure(site.gateway->ops_port, "pool_ejected"), 0) << error;
+    for (int i = 0; i < 5; ++i)
+      EXPECT_EQ(SendRequest(*client, RequestOfNewCustomer("save-scenario")).status(), 200) << error;
+    EXPECT_EQ(ReadMetric(site.gateway->admin_port, "pool_ejected"), 0) << error;
   }
 }
 
 // What an operator has taken out, or put, is still owed where the folder can't be read for a moment at a
 // start.
 TEST(Disk, WhatWasKeptOutlivesAReadThatFailsForAMoment) {
-  Backend one(Says(Ok("x"))), two(Says(Ok("x")));
-  Folder folder;
-  json entries = json::array({Entry("s1", one.port()), Entry("s2", two.port())});
-  Process::Environment kept = kOps;
+  Backend one(RespondsWith(OkResponse("x"))), two(RespondsWith(OkResponse("x")));
+  TempFolder folder;
+  json entries = json::array({EndpointEntry("s1", one.port()), EndpointEntry("s2", two.port())});
+  GatewayProcess::Environment kept = kAdminEnvironment;
   kept["TMPDIR"] = folder.path();
   {
-    Site site(entries, {}, LEMONCHUTE_GATEWAY, 0, kept);
-    EXPECT_EQ(Call(site.gateway->ops_port, "PUT", "/control/backends/s1/offline").status(), 200);
+    GatewayFixture site(entries, {}, LEMONCHUTE_GATEWAY, 0, kept);
+    EXPECT_EQ(AdminCall(site.gateway->admin_port, "PUT", "/control/backends/s1/offline").status(), 200);
     site.gateway->Signal(SIGKILL);
-    EXPECT_EQ(site.gateway->Exit(), -SIGKILL);
+    EXPECT_EQ(site.gateway->WaitForExit(), -SIGKILL);
   }
   // The file of the configuration, the record of revisions, the list of what is offline.
   for (const char* faults : {"open-read.EIO=#3", "open-read.EMFILE=#3"}) {
-    Site site(entries, {}, LEMONCHUTE_GATEWAY, 0, With(faults, kept));
+    GatewayFixture site(entries, {}, LEMONCHUTE_GATEWAY, 0, With(faults, kept));
     int before = one.requests.count();
     auto client = site.gateway->Connect();
-    for (int i = 0; i < 10; ++i) EXPECT_EQ(Ask(*client, Fresh("quote")).status(), 200);
+    for (int i = 0; i < 10; ++i) EXPECT_EQ(SendRequest(*client, RequestOfNewCustomer("quote")).status(), 200);
     EXPECT_EQ(one.requests.count(), before) << faults;
     site.gateway->Signal(SIGKILL);
-    EXPECT_EQ(site.gateway->Exit(), -SIGKILL);
+    EXPECT_EQ(site.gateway->WaitForExit(), -SIGKILL);
   }
 }
 
@@ -177,20 +182,21 @@
 
 void BackendThatHasJustStartedIsColdForItsTimeAndNoLonger(const Step& step) {
   SCOPED_TRACE(std::string(step.faults) + ", discovery ahead by " + std::to_string(step.told_ahead_s));
-  Backend warm(Says(Ok("x"))), fresh(Says(Ok("x")));
-  json config = Config(0, 0);
+  Backend warm(RespondsWith(OkResponse("x"))), fresh(RespondsWith(OkResponse("x")));
+  json config = DefaultConfig(0, 0);
   config["settings"]["invariants"]["warm-after-s"] = 2.0;
-  Site site(One(warm), config, LEMONCHUTE_GATEWAY, 0, With(step.faults));
+  GatewayFixture site(One(warm), config, LEMONCHUTE_GATEWAY, 0, With(step.faults));
   std::this_thread::sleep_for(std::chrono::milliseconds(300));  // past the step
   double now_s = std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
-  json started = Entry("s2", fresh.port());
+  json started = EndpointEntry("s2", fresh.port());
   started["since_ms"] = (now_s + step.told_ahead_s) * 1000;
-  site.discovery.Set(json::array({started}));  // nothing else is left to send to
-  ASSERT_TRUE(site.discovery.Told());
+  site.discovery.SetList(json::array({started}));  // nothing else is left to send to
+  ASSERT_TRUE(site.discovery.AwaitListApplied());
   auto client = site.gateway->Connect();
   auto served = [&] {
     int count = 0;
-    for (int i = 0; i < 40; ++i) count += Ask(*client, Fresh("quote")).status() == 200 ? 1 : 0;
+    for (int i = 0; i < 40; ++i)
+      count += SendRequest(*client, RequestOfNewCustomer("quote")).status() == 200 ? 1 : 0;
     return count;
   };
   EXPECT_LE(served(), 3);
