--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -12,16 +12,16 @@
 using namespace rig;  // NOLINT
 using Clock = std::chrono::steady_clock;
 
-std::string List(uint64_t index, const json& entries, bool whole) {
-  return OkResponse(json{{"index", index}, {"snapshot", whole}, {"endpoints", entries}}.dump(1));  // indented
+std::string ListResponse(uint64_t index, const json& entries, bool full) {
+  return OkResponse(json{{"index", index}, {"snapshot", full}, {"endpoints", entries}}.dump(1));  // indented
 }
 
 // A discovery client alone, against an agent that the test plays; ends when `agent` says so.
-struct LoneClient {
-  explicit LoneClient(Server::Handler agent) : server(std::move(agent)) {}
+struct DiscoveryClientRunner {
+  explicit DiscoveryClientRunner(Server::Handler agent) : server(std::move(agent)) {}
   void Run() {
     client.Start();
-    auto stopped = boost::asio::make_work_guard(io);
+    auto keep_running = boost::asio::make_work_guard(io);
     io.run();
     client.Stop();
     server.Stop();
@@ -41,268 +41,275 @@
 
 // What a silent watch misses counts as told 6 s after it fell silent: by then a new one must have been
 // opened.
-TEST(Watch, OneThatFallsSilentIsOpenedAnewBeforeWhatItMissesCounts) {
-  Clock::time_point silent, anew;
-  LoneClient* lone = nullptr;
-  Event opened;
-  LoneClient run([&](Connection& wire) {
-    for (Message ask = wire.Read(); ask.complete; ask = wire.Read()) {
-      if (ask.head.find("after=") == std::string::npos) {
-        wire.Write(List(4, json::array(), true));
-      } else if (opened.Notify(), opened.count() == 1) {
-        silent = Clock::now();  // open, and nothing more on it
+TEST(Watch, SilentWatchIsReopenedBeforeMissedChangesCountAsKnown) {
+  Clock::time_point silent_since, reopened_at;
+  DiscoveryClientRunner* runner = nullptr;
+  Event watch_opened;
+  DiscoveryClientRunner owned_runner([&](Connection& connection) {
+    for (Message request = connection.Read(); request.complete; request = connection.Read()) {
+      if (request.head.find("after=") == std::string::npos) {
+        connection.Write(ListResponse(4, json::array(), true));
+      } else if (watch_opened.Notify(), watch_opened.count() == 1) {
+        silent_since = Clock::now();  // open, and nothing more on it
       } else {
-        anew = Clock::now();
-        lone->io.stop();
+        reopened_at = Clock::now();
+        runner->io.stop();
       }
     }
   });
-  lone = &run;
-  run.Run();
-  EXPECT_EQ(run.server.connections, 2);
-  EXPECT_LT(anew - silent, std::chrono::seconds(6));
+  runner = &owned_runner;
+  owned_runner.Run();
+  EXPECT_EQ(owned_runner.server.connections, 2);
+  EXPECT_LT(reopened_at - silent_since, std::chrono::seconds(6));
 }
 
 // Calls that were refused before don't make a watch that then falls silent wait for longer.
-TEST(Watch, OneThatFallsSilentAfterRefusalsIsOpenedAnewAtOnce) {
-  LoneClient* lone = nullptr;
-  int watches = 0, whole = 0;
+TEST(Watch, SilentWatchAfterRefusalsIsReopenedWithoutExtraDelay) {
+  DiscoveryClientRunner* runner = nullptr;
+  int watch_requests = 0, full_list_requests = 0;
   constexpr int kRefused = 6;
-  LoneClient run([&](Connection& wire) {
-    for (Message ask = wire.Read(); ask.complete; ask = wire.Read()) {
-      if (ask.head.find("after=") == std::string::npos) {
-        ++whole;
-        wire.Write(List(4, json::array(), true));
-      } else if (++watches <= kRefused) {
-        wire.Write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-      } else if (watches == kRefused + 1) {
-        wire.WaitForClose();  // silent until the client gives it up
+  DiscoveryClientRunner owned_runner([&](Connection& connection) {
+    for (Message request = connection.Read(); request.complete; request = connection.Read()) {
+      if (request.head.find("after=") == std::string::npos) {
+        ++full_list_requests;
+        connection.Write(ListResponse(4, json::array(), true));
+      } else if (++watch_requests <= kRefused) {
+        connection.Write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+      } else if (watch_requests == kRefused + 1) {
+        connection.WaitForClose();  // silent until the client gives it up
         return;
       } else {
-        lone->io.stop();
+        runner->io.stop();
       }
     }
   });
-  lone = &run;
-  run.Run();
-  EXPECT_EQ(watches, kRefused + 2);
-  EXPECT_EQ(whole, 1) << "the back-off began anew: only after longer gaps the whole list is asked for";
+  runner = &owned_runner;
+  owned_runner.Run();
+  EXPECT_EQ(watch_requests, kRefused + 2);
+  EXPECT_EQ(full_list_requests, 1)
+      << "the back-off began anew: only after longer gaps the whole list is asked for";
 }
 
 // A start goes on from the list that it was given, at once: a whole list and a watch are two calls of each of
 // a fleet's gateways, which discovery may not carry, and until it has turned to the second nobody is told.
-TEST(Watch, AStartGoesOnFromTheKnownList) {
-  Backend old(RespondsWith(OkResponse("old"))), fresh(RespondsWith(OkResponse("fresh")));
-  Event asked;
-  std::vector<std::string> asks;
-  Server agent([&](Connection& wire) {
-    for (Message ask = wire.Read(); ask.complete; ask = wire.Read()) {
-      asks.push_back(ask.head.substr(0, ask.head.find(" HTTP")));
-      bool first = asks.size() == 1;
+TEST(Watch, StartContinuesFromTheCachedList) {
+  Backend old_backend(RespondsWith(OkResponse("old"))), new_backend(RespondsWith(OkResponse("fresh")));
+  Event requested;
+  std::vector<std::string> request_lines;
+  Server agent([&](Connection& connection) {
+    for (Message request = connection.Read(); request.complete; request = connection.Read()) {
+      request_lines.push_back(request.head.substr(0, request.head.find(" HTTP")));
+      bool first = request_lines.size() == 1;
       if (first)
-        wire.Write(List(
-            9, json::array({EndpointEntry("a", old.port(), "leaving"), EndpointEntry("b", fresh.port())}),
-            false));
-      asked.Notify();
+        connection.Write(ListResponse(9,
+                                      json::array({EndpointEntry("a", old_backend.port(), "leaving"),
+                                                   EndpointEntry("b", new_backend.port())}),
+                                      false));
+      requested.Notify();
     }
   });
   Counter counter([](const std::string&, double) { return BulkString("0"); });
-  json config = DefaultConfig(agent.port(), counter.port(), json::array({EndpointEntry("a", old.port())}));
+  json config =
+      DefaultConfig(agent.port(), counter.port(), json::array({EndpointEntry("a", old_backend.port())}));
   config["known"]["index"] = 7;
   GatewayProcess gateway(config);
-  ASSERT_TRUE(asked.Wait(2));
-  EXPECT_EQ(asks[0], "GET /api/targets?after=7&wait_ms=1");
-  EXPECT_EQ(asks[1].substr(0, 24), "GET /api/targets?after=9");
+  ASSERT_TRUE(requested.Wait(2));
+  EXPECT_EQ(request_lines[0], "GET /api/targets?after=7&wait_ms=1");
+  EXPECT_EQ(request_lines[1].substr(0, 24), "GET /api/targets?after=9");
   EXPECT_EQ(SendRequest(*gateway.Connect(), Request("quote")).body, "fresh");
   gateway.Signal(SIGTERM);
   EXPECT_EQ(gateway.WaitForExit(), 0);  // before its peers go
 }
 
 // Other than the site's: what it takes is `path` in the settings.
-json With(std::initializer_list<std::pair<const char*, json>> changes) {
+json ConfigWith(std::initializer_list<std::pair<const char*, json>> changes) {
   json config = DefaultConfig(0, 0);
   for (const auto& [path, value] : changes) config["settings"][json::json_pointer(path)] = value;
   return config;
 }
 
 // Discovery's agent for a whole fleet within one event loop: refuses every call for a time, then answers.
-class FleetAgent {
+class RefusingAgent {
  public:
-  FleetAgent(boost::asio::io_context& io, std::chrono::milliseconds refuses)
-      : acceptor_(io, {boost::asio::ip::make_address("127.0.0.1"), 0}), until_(Clock::now() + refuses) {
+  RefusingAgent(boost::asio::io_context& io, std::chrono::milliseconds refuse_for)
+      : acceptor_(io, {boost::asio::ip::make_address("127.0.0.1"), 0}),
+        refuse_until_(Clock::now() + refuse_for) {
     Accept();
   }
-  boost::asio::ip::tcp::endpoint at() const { return acceptor_.local_endpoint(); }
-  Clock::time_point until() const { return until_; }
-  std::vector<Clock::time_point> refused;
+  boost::asio::ip::tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
+  Clock::time_point refuse_until() const { return refuse_until_; }
+  std::vector<Clock::time_point> refused_at;
 
  private:
-  struct Talk {
-    explicit Talk(boost::asio::ip::tcp::socket from) : socket(std::move(from)) {}
+  struct Session {
+    explicit Session(boost::asio::ip::tcp::socket peer) : socket(std::move(peer)) {}
     boost::asio::ip::tcp::socket socket;
     std::string text;
   };
   void Accept() {
     acceptor_.async_accept([this](boost::system::error_code error, boost::asio::ip::tcp::socket socket) {
       if (error) return;
-      Hear(std::make_shared<Talk>(std::move(socket)));
+      ReadRequest(std::make_shared<Session>(std::move(socket)));
       Accept();
     });
   }
-  void Hear(std::shared_ptr<Talk> talk) {
-    auto to = boost::asio::dynamic_buffer(talk->text);
-    boost::asio::async_read_until(talk->socket, to, "\r\n\r\n", [this, talk](auto error, size_t) {
+  void ReadRequest(std::shared_ptr<Session> session) {
+    auto buffer = boost::asio::dynamic_buffer(session->text);
+    boost::asio::async_read_until(session->socket, buffer, "\r\n\r\n", [this, session](auto error, size_t) {
       if (error) return;
-      bool refuse = Clock::now() < until_, watch = talk->text.find("after=") != std::string::npos;
-      talk->text.clear();
-      if (!refuse && watch) return open_.push_back(talk);  // nothing to tell
-      if (refuse) refused.push_back(Clock::now());
+      bool refuse = Clock::now() < refuse_until_, watch = session->text.find("after=") != std::string::npos;
+      session->text.clear();
+      if (!refuse && watch) return pending_watches_.push_back(session);  // nothing to tell
+      if (refuse) refused_at.push_back(Clock::now());
       std::string busy = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
-      std::string answer = refuse ? busy : List(4, json::array(), true);
-      boost::asio::write(talk->socket, boost::asio::buffer(answer));
-      Hear(talk);
+      std::string response = refuse ? busy : ListResponse(4, json::array(), true);
+      boost::asio::write(session->socket, boost::asio::buffer(response));
+      ReadRequest(session);
     });
   }
   boost::asio::ip::tcp::acceptor acceptor_;
-  const Clock::time_point until_;
-  std::vector<std::shared_ptr<Talk>> open_;
+  const Clock::time_point refuse_until_;
+  std::vector<std::shared_ptr<Session>> pending_watches_;
 };
 
 // Whatever came of the calls before, a change counts as told 6 s after discovery could be reached again. A
 // fleet that is refused asks for no more than one that is answered, which is a watch a second from each
 // gateway.
-TEST(Watch, AFleetThatWasRefusedIsToldWithinSixSecondsAndAsksNoMoreThanOneThatIsServed) {
+TEST(Watch, RefusedFleetIsUpdatedWithinSixSecondsWithoutExtraLoad) {
   constexpr auto kOutage = std::chrono::seconds(9), kSettled = std::chrono::seconds(5);
-  for (size_t gateways : {1, 30, 350}) {
+  for (size_t gateway_count : {1, 30, 350}) {
     boost::asio::io_context io{1};
-    FleetAgent agent(io, kOutage);
-    std::set<size_t> told;
-    std::vector<std::unique_ptr<lemonchute::net::DiscoveryClient>> fleet;
+    RefusingAgent agent(io, kOutage);
+    std::set<size_t> updated;
+    std::vector<std::unique_ptr<lemonchute::net::DiscoveryClient>> clients;
     lemonchute::net::BackendIds ids;
-    for (size_t i = 0; i < gateways; ++i) {
+    for (size_t i = 0; i < gateway_count; ++i) {
       auto on_list = [&, i](const lemonchute::net::BackendList&) {
-        if (told.insert(i); told.size() == gateways) io.stop();
+        if (updated.insert(i); updated.size() == gateway_count) io.stop();
       };
-      fleet.push_back(std::make_unique<lemonchute::net::DiscoveryClient>(
-          io, agent.at(), std::make_shared<const lemonchute::policy::SocketSettings>(), &ids, on_list, [] {},
-          i + 1));
-      fleet.back()->Start();
+      clients.push_back(std::make_unique<lemonchute::net::DiscoveryClient>(
+          io, agent.endpoint(), std::make_shared<const lemonchute::policy::SocketSettings>(), &ids, on_list,
+          [] {}, i + 1));
+      clients.back()->Start();
     }
-    io.run_until(agent.until() + std::chrono::seconds(6));
-    EXPECT_EQ(told.size(), gateways);
-    auto late = std::count_if(agent.refused.begin(), agent.refused.end(),
-                              [&](auto at) { return at >= agent.until() - (kOutage - kSettled); });
-    auto seconds = std::chrono::seconds(kOutage - kSettled).count();
-    EXPECT_LE(late, 1.2 * static_cast<double>(gateways) * static_cast<double>(seconds) + 3) << gateways;
-    for (auto& client : fleet) client->Stop();
+    io.run_until(agent.refuse_until() + std::chrono::seconds(6));
+    EXPECT_EQ(updated.size(), gateway_count);
+    auto late_refusals = std::count_if(agent.refused_at.begin(), agent.refused_at.end(), [&](auto time) {
+      return time >= agent.refuse_until() - (kOutage - kSettled);
+    });
+    auto settled_s = std::chrono::seconds(kOutage - kSettled).count();
+    EXPECT_LE(late_refusals, 1.2 * static_cast<double>(gateway_count) * static_cast<double>(settled_s) + 3)
+        << gateway_count;
+    for (auto& client : clients) client->Stop();
   }
 }
 
 // Guards against drains that the agent has been told of and a gateway asks for only after their grace: where
 // lists are pushed, what the agent gets at the return of discovery counts at once. A process may be held up
 // for 0.15 s before it writes, which the grace covers too.
-TEST(Watch, AnAgentThatRefusedAndHasPushedListsIsAskedWithinTheGraceOfDrains) {
+TEST(Watch, RefusedFleetIsUpdatedWithinTheDrainGraceIfListsArePushed) {
   constexpr auto kOutage = std::chrono::milliseconds(4200), kGrace = std::chrono::milliseconds(1000);
-  constexpr auto kHeldUp = std::chrono::milliseconds(150);
+  constexpr auto kProcessStall = std::chrono::milliseconds(150);
   constexpr size_t kGateways = 60;
-  lemonchute::policy::SocketSettings site;
-  site.discovery_pushes = true;
-  site.drain_grace_s = std::chrono::duration<double>(kGrace).count();
+  lemonchute::policy::SocketSettings settings;
+  settings.discovery_pushes = true;
+  settings.drain_grace_s = std::chrono::duration<double>(kGrace).count();
   boost::asio::io_context io{1};
-  FleetAgent agent(io, kOutage);
-  std::set<size_t> told;
-  std::vector<std::unique_ptr<lemonchute::net::DiscoveryClient>> fleet;
+  RefusingAgent agent(io, kOutage);
+  std::set<size_t> updated;
+  std::vector<std::unique_ptr<lemonchute::net::DiscoveryClient>> clients;
   lemonchute::net::BackendIds ids;
   for (size_t i = 0; i < kGateways; ++i) {
-    auto on_list = [&, i](const lemonchute::net::BackendList&) { told.insert(i); };
-    fleet.push_back(std::make_unique<lemonchute::net::DiscoveryClient>(
-        io, agent.at(), std::make_shared<const lemonchute::policy::SocketSettings>(site), &ids, on_list,
-        [] {}, i + 1));
-    fleet.back()->Start();
+    auto on_list = [&, i](const lemonchute::net::BackendList&) { updated.insert(i); };
+    clients.push_back(std::make_unique<lemonchute::net::DiscoveryClient>(
+        io, agent.endpoint(), std::make_shared<const lemonchute::policy::SocketSettings>(settings), &ids,
+        on_list, [] {}, i + 1));
+    clients.back()->Start();
   }
-  io.run_until(agent.until() + kGrace - kHeldUp);
-  EXPECT_EQ(told.size(), kGateways);
-  for (auto& client : fleet) client->Stop();
+  io.run_until(agent.refuse_until() + kGrace - kProcessStall);
+  EXPECT_EQ(updated.size(), kGateways);
+  for (auto& client : clients) client->Stop();
 }
 
 // A new configuration moves discovery for a whole fleet at once: each gateway asks for what has changed,
 // which discovery carries, and not for a whole list, which it does not.
-TEST(Watch, AMovedDiscoveryIsAskedForWhatHasChanged) {
-  LoneClient* lone = nullptr;
-  std::vector<std::string> asked;
-  Server moved([&](Connection& wire) {
-    Message ask = wire.Read();
-    asked.push_back(ask.head.substr(0, ask.head.find(" HTTP")));
-    wire.Write(List(5, json::array(), false));
-    wire.Read();
-    lone->io.stop();
+TEST(Watch, MovedDiscoveryIsAskedForChangesOnly) {
+  DiscoveryClientRunner* runner = nullptr;
+  std::vector<std::string> request_lines;
+  Server new_server([&](Connection& connection) {
+    Message request = connection.Read();
+    request_lines.push_back(request.head.substr(0, request.head.find(" HTTP")));
+    connection.Write(ListResponse(5, json::array(), false));
+    connection.Read();
+    runner->io.stop();
   });
-  LoneClient run([&](Connection& wire) {
-    wire.Read();
-    wire.Write(List(4, json::array(), true));
-    wire.Read();  // its watch
-    boost::asio::post(lone->io, [&] {
-      lone->client.Move(
-          {boost::asio::ip::make_address("127.0.0.1"), static_cast<unsigned short>(moved.port())});
+  DiscoveryClientRunner owned_runner([&](Connection& connection) {
+    connection.Read();
+    connection.Write(ListResponse(4, json::array(), true));
+    connection.Read();  // its watch
+    boost::asio::post(runner->io, [&] {
+      runner->client.Move(
+          {boost::asio::ip::make_address("127.0.0.1"), static_cast<unsigned short>(new_server.port())});
     });
-    wire.WaitForClose();
+    connection.WaitForClose();
   });
-  lone = &run;
-  run.Run();
-  moved.Stop();
-  ASSERT_EQ(asked.size(), 1u);
-  EXPECT_EQ(asked[0].find("GET /api/targets?after=4&"), 0u) << asked[0];
+  runner = &owned_runner;
+  owned_runner.Run();
+  new_server.Stop();
+  ASSERT_EQ(request_lines.size(), 1u);
+  EXPECT_EQ(request_lines[0].find("GET /api/targets?after=4&"), 0u) << request_lines[0];
 }
 
 // A request that comes on a resting connection just as that is closed: it is not sent on, since its answer
 // could reach nobody, and the connection is not reset over it, which would take along what the client has not
 // read.
-TEST(Closing, ARequestBehindTheHalfCloseIsNeitherSentOnNorResetsTheConnection) {
+TEST(Closing, RequestAfterTheHalfCloseIsNotForwardedAndCausesNoReset) {
   Backend backend(RespondsWith(OkResponse("x")));
-  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}));
-  auto client = site.gateway->Connect();
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+  auto client = fixture.gateway->Connect();
   EXPECT_EQ(SendRequest(*client, Request("quote")).status(), 200);
-  site.gateway->Signal(SIGTERM);
+  fixture.gateway->Signal(SIGTERM);
   EXPECT_TRUE(client->WaitForClose());
   client->Write(Request("quote"));
-  EXPECT_EQ(site.gateway->WaitForExit(), 0);
+  EXPECT_EQ(fixture.gateway->WaitForExit(), 0);
   EXPECT_EQ(client->SocketError(), 0) << "reset";
   EXPECT_EQ(backend.requests.count(), 1);
 }
 
 // The platform counts the longest deadline as 3 s where it is longer, and ends the process 0.7 s after that.
-TEST(Closing, WhatIsHeldAtTheEndOfTheProcessGetsItsFinalAnswer) {
-  Event given_up;
-  Backend backend(HangsUntilClosed(&given_up));
-  json config = With({{"/request-classes/0/hard-limit-s", 30.0}, {"/request-classes/2/hard-limit-s", 30.0}});
-  GatewayFixture site(json::array({EndpointEntry("s1", backend.port()), EndpointEntry("s2", backend.port())}),
-                      config);
-  auto held = site.gateway->Connect(), late = site.gateway->Connect();
-  held->Write(Request("send-lead", 1, 30000));
+TEST(Closing, InFlightRequestsGetAResponseBeforeTheProcessEnds) {
+  Event connection_closed;
+  Backend backend(HangsUntilClosed(&connection_closed));
+  json config =
+      ConfigWith({{"/request-classes/0/hard-limit-s", 30.0}, {"/request-classes/2/hard-limit-s", 30.0}});
+  GatewayFixture fixture(
+      json::array({EndpointEntry("s1", backend.port()), EndpointEntry("s2", backend.port())}), config);
+  auto in_flight = fixture.gateway->Connect(), late_request = fixture.gateway->Connect();
+  in_flight->Write(Request("send-lead", 1, 30000));
   ASSERT_TRUE(backend.requests.Wait());
   std::string request = Request("send-lead", 1, 30000);
-  late->Write(request.substr(0, 40));
-  site.gateway->Signal(SIGTERM);
-  auto began = Clock::now();
-  auto probe = site.gateway->Connect();
+  late_request->Write(request.substr(0, 40));
+  fixture.gateway->Signal(SIGTERM);
+  auto terminated_at = Clock::now();
+  auto probe = fixture.gateway->Connect();
   while (SendRequest(*probe, kReadinessRequest).status() == 200) {
   }
-  late->Write(request.substr(40));
-  EXPECT_EQ(held->Read().status(), 504);
-  EXPECT_EQ(late->Read().status() / 100, 5);
-  EXPECT_EQ(site.gateway->WaitForExit(), 0);
-  EXPECT_LT(Clock::now() - began, std::chrono::seconds(15)) << "not after the deadlines";
+  late_request->Write(request.substr(40));
+  EXPECT_EQ(in_flight->Read().status(), 504);
+  EXPECT_EQ(late_request->Read().status() / 100, 5);
+  EXPECT_EQ(fixture.gateway->WaitForExit(), 0);
+  EXPECT_LT(Clock::now() - terminated_at, std::chrono::seconds(15)) << "not after the deadlines";
 }
 
 // What a client sends while an earlier request of it leaves the buffer is taken as it came.
-TEST(Reading, ARequestThatComesBehindOneSentAheadIsTheOneSentOn) {
-  Event go;
-  Backend backend([&](const Message&, Connection&) { return go.Wait(), OkResponse("x"); });
-  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}));
-  auto client = site.gateway->Connect();
+TEST(Reading, RequestAfterAPipelinedOneIsForwardedIntact) {
+  Event release;
+  Backend backend([&](const Message&, Connection&) { return release.Wait(), OkResponse("x"); });
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+  auto client = fixture.gateway->Connect();
   client->Write(Request("quote") + Request("quote"));
   ASSERT_TRUE(backend.requests.Wait());  // the second lies in the buffer, and more is waited for
-  go.Notify();
+  release.Notify();
   EXPECT_EQ(client->Read().status(), 200);
   EXPECT_EQ(client->Read().status(), 200);
   std::string third = Request("quote");
@@ -313,25 +320,27 @@
 }
 
 // The rest of a long body that comes while the part before it is passed on stays as its client sent it.
-TEST(Reading, ALongBodyIsPassedOnAsItsClientSentIt) {
+TEST(Reading, StreamedBodyIsForwardedIntact) {
   BlockedListener listener;
-  GatewayFixture site(
+  GatewayFixture fixture(
       json::array({EndpointEntry("s1", listener.port())}),
-      With({{"/request-classes/2/hard-limit-s", 600.0}, {"/limits/connect-timeout-s", 600.0}}));
+      ConfigWith({{"/request-classes/2/hard-limit-s", 600.0}, {"/limits/connect-timeout-s", 600.0}}));
   std::string body;
   for (int i = 0; body.size() < size_t{1} << 17; ++i) body += std::to_string(i) + " ";
   std::string request = Request("send-lead", 1, 600000, "", body);
-  size_t head = request.size() - body.size(), before = head + (size_t{24} << 10);  // a piece and a half
-  auto client = site.gateway->Connect(), probe = site.gateway->Connect();
-  client->Write(request.substr(0, before));
+  size_t head_size = request.size() - body.size(),
+         first_part_size = head_size + (size_t{24} << 10);  // a piece and a half
+  auto client = fixture.gateway->Connect(), probe = fixture.gateway->Connect();
+  client->Write(request.substr(0, first_part_size));
   ASSERT_TRUE(client->WaitUntilDelivered());
   // Each answer is a turn of the event loop in which what has come is read, a chunk at a time.
   for (int turn = 0; turn < 32; ++turn) EXPECT_EQ(SendRequest(*probe, kReadinessRequest).status(), 200);
   listener.Unblock();
   auto backend = listener.Accept();
   backend->ReadUntil("\r\n\r\n");
-  ASSERT_TRUE(backend->ReadUntil(before - head));  // all of it has left the buffer, and more is waited for
-  client->Write(request.substr(before));
+  ASSERT_TRUE(backend->ReadUntil(first_part_size -
+                                 head_size));  // all of it has left the buffer, and more is waited for
+  client->Write(request.substr(first_part_size));
   ASSERT_TRUE(backend->ReadUntil(body.size()));
   EXPECT_TRUE(backend->unread == body);
   backend->Write(OkResponse("x"));
@@ -339,89 +348,89 @@
 }
 
 // A client that has left is noticed whatever it sent ahead.
-TEST(Closing, AClientThatLeavesBehindWhatItSentAheadIsNoticed) {
+TEST(Closing, DisconnectBehindPipelinedBytesIsDetected) {
   for (size_t ahead : {size_t{1} << 10, size_t{40} << 10, size_t{1} << 20}) {
-    Event given_up;
-    Backend backend(HangsUntilClosed(&given_up));
-    GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}),
-                        With({{"/request-classes/0/hard-limit-s", 600.0}}), LEMONCHUTE_GATEWAY, 0,
-                        kAdminEnvironment);
-    auto client = site.gateway->Connect();
+    Event connection_closed;
+    Backend backend(HangsUntilClosed(&connection_closed));
+    GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}),
+                           ConfigWith({{"/request-classes/0/hard-limit-s", 600.0}}), LEMONCHUTE_GATEWAY, 0,
+                           kAdminEnvironment);
+    auto client = fixture.gateway->Connect();
     client->Write(Request("quote", 1, 600000));
     ASSERT_TRUE(backend.requests.Wait());
     client->Write(std::string(ahead, 'x'));
     client->Close();
-    AwaitMetric(site.gateway->admin_port, "active", 0);
-    EXPECT_TRUE(given_up.Wait()) << ahead;
+    AwaitMetric(fixture.gateway->admin_port, "active", 0);
+    EXPECT_TRUE(connection_closed.Wait()) << ahead;
   }
 }
 
 // What is sent ahead within bounds is served in its turn; past them the answer says that it is the last.
-TEST(Closing, MoreThanIsKeptOfWhatWasSentAheadEndsTheConnectionWithTheAnswer) {
-  Event go;
-  Backend backend([&](const Message&, Connection&) { return go.Wait(), OkResponse("x"); });
-  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}));
-  auto client = site.gateway->Connect();
+TEST(Closing, ExcessPipelinedBytesEndTheConnectionAfterTheResponse) {
+  Event release;
+  Backend backend([&](const Message&, Connection&) { return release.Wait(), OkResponse("x"); });
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+  auto client = fixture.gateway->Connect();
   client->Write(Request("quote"));
   ASSERT_TRUE(backend.requests.Wait());
   std::thread flood([&] { client->Write(std::string(size_t{8} << 20, 'x')); });  // more than sockets hold
   flood.join();
-  go.Notify();
-  Message answer = client->Read();
-  EXPECT_EQ(answer.status(), 200);
-  EXPECT_EQ(answer.Header("Connection"), "close");
+  release.Notify();
+  Message response = client->Read();
+  EXPECT_EQ(response.status(), 200);
+  EXPECT_EQ(response.Header("Connection"), "close");
 }
 
 // An attempt whose connection comes up after its client has left is not made, nor does it wait to be, also
 // where the settings allow no cancels.
-TEST(Attempt, OneThatHasNotConnectedEndsWithItsClient) {
+TEST(Attempt, ConnectingAttemptEndsWhenItsClientDisconnects) {
   BlockedListener backend;
-  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}),
-                      With({{"/limits/cancel", false}, {"/limits/connect-timeout-s", 60.0}}),
-                      LEMONCHUTE_GATEWAY, 0, kAdminEnvironment);
-  int ops = site.gateway->admin_port;
-  AwaitMetric(ops, "active", 0);
-  auto client = site.gateway->Connect();
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}),
+                         ConfigWith({{"/limits/cancel", false}, {"/limits/connect-timeout-s", 60.0}}),
+                         LEMONCHUTE_GATEWAY, 0, kAdminEnvironment);
+  int admin_port = fixture.gateway->admin_port;
+  AwaitMetric(admin_port, "active", 0);
+  auto client = fixture.gateway->Connect();
   EXPECT_EQ(SendRequest(*client, kReadinessRequest).status(), 200);
-  size_t before = site.gateway->CountDescriptors();
+  size_t before = fixture.gateway->CountDescriptors();
   client->Write(Request("send-lead"));
-  AwaitMetric(ops, "active", 1);
+  AwaitMetric(admin_port, "active", 1);
   client->Close();
-  AwaitMetric(ops, "active", 0);
-  for (int i = 0; i < 200 && site.gateway->CountDescriptors() >= before; ++i) {
+  AwaitMetric(admin_port, "active", 0);
+  for (int i = 0; i < 200 && fixture.gateway->CountDescriptors() >= before; ++i) {
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
-  EXPECT_LT(site.gateway->CountDescriptors(), before);
+  EXPECT_LT(fixture.gateway->CountDescriptors(), before);
   backend.Unblock();
-  site.gateway->Signal(SIGTERM);
-  EXPECT_EQ(site.gateway->WaitForExit(), 0);
+  fixture.gateway->Signal(SIGTERM);
+  EXPECT_EQ(fixture.gateway->WaitForExit(), 0);
   EXPECT_EQ(backend.ReceivedBytes(), "");
 }
 
 // A backend turns a request away and its client leaves, both while the process stands still: it then finds
 // the answer first, and must not send the request on to the next backend for a client that has gone.
-TEST(Attempt, NoneIsRepeatedForAClientWhoseEndIsStillWithTheSystem) {
+TEST(Attempt, NoRetryForAClientWhoseDisconnectWasNotReadYet) {
   std::unique_ptr<Connection> client;
   GatewayProcess* gateway = nullptr;
   Event done;
   std::atomic<int> requests{-1};  // counted from when both backends have a connection that is kept
-  auto turns_away = [&](const Message&, Connection& wire) {
+  auto reject_and_disconnect = [&](const Message&, Connection& connection) {
     if (requests < 0) return OkResponse("x");
     if (requests++ > 0) return std::string();
     gateway->Signal(SIGSTOP);
-    wire.Write("HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
-    EXPECT_TRUE(wire.WaitUntilDelivered());
+    connection.Write("HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
+    EXPECT_TRUE(connection.WaitUntilDelivered());
     client->Close();
     std::this_thread::sleep_for(std::chrono::milliseconds(120));  // over what a rule allows
     gateway->Signal(SIGCONT);
     done.Notify();
-    wire.WaitForClose();
+    connection.WaitForClose();
     return std::string();
   };
-  Backend one(turns_away), two(turns_away);
-  GatewayFixture site(json::array({EndpointEntry("s1", one.port()), EndpointEntry("s2", two.port())}), {},
-                      LEMONCHUTE_GATEWAY, 0, kAdminEnvironment);
-  gateway = site.gateway.get();
+  Backend one(reject_and_disconnect), two(reject_and_disconnect);
+  GatewayFixture fixture(json::array({EndpointEntry("s1", one.port()), EndpointEntry("s2", two.port())}), {},
+                         LEMONCHUTE_GATEWAY, 0, kAdminEnvironment);
+  gateway = fixture.gateway.get();
   client = gateway->Connect();
   while (one.requests.count() == 0 || two.requests.count() == 0) {
     ASSERT_EQ(SendRequest(*client, RequestOfNewCustomer("quote")).status(), 200);
@@ -438,40 +447,41 @@
 
 // What an attempt tells its backend is what is left to the client when it is written, also where its
 // connection has come up late, and with a long request no more than the client's own time.
-TEST(Attempt, OneOnALateConnectionTellsTheTimeThatIsLeft) {
+TEST(Attempt, LateConnectionAnnouncesTheRemainingTime) {
   constexpr int kTimeoutMs = 20000;
-  for (size_t body : {size_t{0}, size_t{100} << 10}) {
+  for (size_t body_size : {size_t{0}, size_t{100} << 10}) {
     BlockedListener listener;
-    GatewayFixture site(
+    GatewayFixture fixture(
         json::array({EndpointEntry("s1", listener.port())}),
-        With({{"/request-classes/2/hard-limit-s", 60.0}, {"/limits/connect-timeout-s", 60.0}}),
+        ConfigWith({{"/request-classes/2/hard-limit-s", 60.0}, {"/limits/connect-timeout-s", 60.0}}),
         LEMONCHUTE_GATEWAY, 0, kAdminEnvironment);
-    auto client = site.gateway->Connect();
-    auto sent = Clock::now();
-    client->Write(Request("send-lead", 1, kTimeoutMs, "", std::string(body, 'x')));
-    AwaitMetric(site.gateway->admin_port, "active",
+    auto client = fixture.gateway->Connect();
+    auto sent_at = Clock::now();
+    client->Write(Request("send-lead", 1, kTimeoutMs, "", std::string(body_size, 'x')));
+    AwaitMetric(fixture.gateway->admin_port, "active",
                 1);  // its attempt has begun, and asks anew after a second
     listener.Unblock();
     auto backend = listener.Accept();
-    auto came = Clock::now();
+    auto connected_at = Clock::now();
     Message head{backend->ReadUntil("\r\n\r\n"), "", true};
-    auto gone = std::chrono::duration_cast<std::chrono::milliseconds>(came - sent).count();
-    int told = std::atoi(head.Header("Request-Timeout-Ms").c_str());
-    EXPECT_GT(told, 0);
-    EXPECT_LE(told, kTimeoutMs - (body == 0 ? gone - 150 : 0)) << "up after " << gone << " ms";
-    ASSERT_TRUE(backend->ReadUntil(body));
+    auto elapsed_ms = std::chrono::duration_cast<std::chrono::milliseconds>(connected_at - sent_at).count();
+    int announced_ms = std::atoi(head.Header("Request-Timeout-Ms").c_str());
+    EXPECT_GT(announced_ms, 0);
+    EXPECT_LE(announced_ms, kTimeoutMs - (body_size == 0 ? elapsed_ms - 150 : 0))
+        << "up after " << elapsed_ms << " ms";
+    ASSERT_TRUE(backend->ReadUntil(body_size));
     backend->Write(OkResponse("x"));
     EXPECT_EQ(client->Read().status(), 200);
   }
 }
 
 // The grace of a drain covers a process that is held up for 0.15 s between its clock and a write.
-TEST(Attempt, NoneBeginsWhereBeingHeldUpWouldCarryItPastTheGraceOfADrain) {
+TEST(Attempt, NotSentIfAProcessStallCouldExceedTheDrainGrace) {
   constexpr double kGraceS = 0.5;
   boost::asio::io_context io{1};
-  lemonchute::net::Metrics counters;
+  lemonchute::net::Metrics metrics;
   Backend backend(RespondsWith(OkResponse("x")));
-  lemonchute::net::BackendPool pool(io, 30, 1, kGraceS, 8, &counters);
+  lemonchute::net::BackendPool pool(io, 30, 1, kGraceS, 8, &metrics);
   pool.SetBufferBudget(1 << 20);
   pool.Update(1, {boost::asio::ip::make_address("127.0.0.1"), static_cast<unsigned short>(backend.port())});
   pool.Drain(1);
@@ -489,122 +499,124 @@
 }
 
 // A repeat must come within the window, not only be decided on in it: its connection may come up late.
-TEST(Attempt, ARepeatWhoseConnectionComesUpAfterTheWindowIsNotMade) {
+TEST(Attempt, RetryIsNotSentIfItsConnectionOpensAfterTheWindow) {
   constexpr auto kWindow = std::chrono::milliseconds(400);
   Backend first([](const Message&, Connection&) { return std::string(); });  // ends: it may have run
   BlockedListener second;
   json entries = json::array({EndpointEntry("s1", first.port()), EndpointEntry("s2", second.port())});
   entries[1]["zone"] = "b";  // the first goes to its own zone
-  GatewayFixture site(entries, With({{"/request-classes/1/window-s", 0.4},
-                                     {"/request-classes/1/hard-limit-s", 20.0},
-                                     {"/limits/connect-timeout-s", 60.0}}));
-  auto client = site.gateway->Connect();
+  GatewayFixture fixture(entries, ConfigWith({{"/request-classes/1/window-s", 0.4},
+                                              {"/request-classes/1/hard-limit-s", 20.0},
+                                              {"/limits/connect-timeout-s", 60.0}}));
+  auto client = fixture.gateway->Connect();
   client->Write(Request("save-scenario", 1, 20000));
   ASSERT_TRUE(first.requests.Wait());
   std::this_thread::sleep_until(Clock::now() + kWindow);  // from its arrival on, so the window is over
   second.Unblock();
   EXPECT_EQ(client->Read().status(), 503);
-  site.gateway->Signal(SIGTERM);
-  EXPECT_EQ(site.gateway->WaitForExit(), 0);
+  fixture.gateway->Signal(SIGTERM);
+  EXPECT_EQ(fixture.gateway->WaitForExit(), 0);
   EXPECT_EQ(second.ReceivedBytes(), "");
 }
 
 // A second answer some milliseconds late must find no further request on its connection.
-TEST(Attempt, ASecondAnswerIsNotTakenForTheNextRequests) {
+TEST(Attempt, DuplicateResponseIsNotMatchedToTheNextRequest) {
   boost::asio::io_context io(1);
-  lemonchute::net::Metrics counters;
-  lemonchute::net::BackendPool pool(io, 30, 1, 1, 16, &counters);
+  lemonchute::net::Metrics metrics;
+  lemonchute::net::BackendPool pool(io, 30, 1, 1, 16, &metrics);
   pool.SetBufferBudget(1 << 20);
-  Backend backend([](const Message& m, Connection& wire) {
-    bool first = m.head.find("/one") != std::string::npos;
+  Backend backend([](const Message& request, Connection& connection) {
+    bool first = request.head.find("/one") != std::string::npos;
     if (!first) return OkResponse("two");
-    wire.Write(OkResponse("one"));
+    connection.Write(OkResponse("one"));
     // Held back until a further request has come on the same connection, or its other side has ended it.
-    if (!wire.Read().complete) return std::string();
+    if (!connection.Read().complete) return std::string();
     return OkResponse("one again");
   });
   pool.Update(1, {boost::asio::ip::make_address("127.0.0.1"), static_cast<unsigned short>(backend.port())});
-  std::string second;
-  auto get = [](const char* path) { return std::string("GET ") + path + " HTTP/1.1\r\nHost: x\r\n\r\n"; };
-  pool.Send(1, {get("/one")}, {20, 0},
-            [&](lemonchute::net::AttemptEnd one) {
-              EXPECT_EQ(one.body, "one");
-              pool.Send(1, {get("/two")}, {20, 0},
-                        [&](lemonchute::net::AttemptEnd two) {
-                          second = two.body;
+  std::string second_body;
+  auto get_request = [](const char* path) {
+    return std::string("GET ") + path + " HTTP/1.1\r\nHost: x\r\n\r\n";
+  };
+  pool.Send(1, {get_request("/one")}, {20, 0},
+            [&](lemonchute::net::AttemptEnd first_end) {
+              EXPECT_EQ(first_end.body, "one");
+              pool.Send(1, {get_request("/two")}, {20, 0},
+                        [&](lemonchute::net::AttemptEnd second_end) {
+                          second_body = second_end.body;
                           io.stop();
                         },
                         {});
             },
             {});
   io.run();
-  EXPECT_EQ(second, "two");
+  EXPECT_EQ(second_body, "two");
   pool.CloseIdle();
 }
 
 // A small answer that has begun and never ends is cut soon after its request's time, so that its client can
 // tell.
-TEST(Attempt, ASmallAnswerThatNeverEndsIsCut) {
-  Backend backend([](const Message&, Connection& wire) {
-    std::string begun =
+TEST(Attempt, SmallResponseThatNeverEndsIsCutOff) {
+  Backend backend([](const Message&, Connection& connection) {
+    std::string first_part =
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5000\r\n" + std::string(0x5000, 'b');
-    wire.Write(begun + "\r\n");
-    while (wire.IsOpen()) {
-      wire.Write("1\r\nb\r\n");
+    connection.Write(first_part + "\r\n");
+    while (connection.IsOpen()) {
+      connection.Write("1\r\nb\r\n");
       std::this_thread::sleep_for(std::chrono::milliseconds(50));
     }
     return std::string();
   });
-  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0,
-                      kAdminEnvironment);
-  auto client = site.gateway->Connect();
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0,
+                         kAdminEnvironment);
+  auto client = fixture.gateway->Connect();
   client->Write(Request("quote", 1, 500));
   EXPECT_NE(client->ReadUntil("200 OK"), "");
   while (client->ReadMore() && client->unread.size() < (1 << 16)) {
   }
   EXPECT_EQ(client->unread.find("\r\n0\r\n"), std::string::npos) << "must not look whole";
-  AwaitMetric(site.gateway->admin_port, "errors.quote", 1);
+  AwaitMetric(fixture.gateway->admin_port, "errors.quote", 1);
 }
 
 // A client that stops in the middle of a request and stays is owed its error or a close within 3 s, also on a
 // connection that has served before.
-TEST(Closing, AClientThatStopsInALaterRequestsHeadIsClosedWithinThreeSeconds) {
+TEST(Closing, ClientStalledInALaterHeaderIsClosedWithinThreeSeconds) {
   Backend backend(RespondsWith(OkResponse("x")));
-  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}));
-  auto client = site.gateway->Connect();
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+  auto client = fixture.gateway->Connect();
   ASSERT_EQ(SendRequest(*client, Request("quote")).status(), 200);
-  std::string half = Request("quote");
-  client->Write(half.substr(0, half.size() / 2));
-  auto stopped = Clock::now();
+  std::string partial_request = Request("quote");
+  client->Write(partial_request.substr(0, partial_request.size() / 2));
+  auto stalled_at = Clock::now();
   EXPECT_TRUE(client->WaitForClose() || client->WaitForClose());
-  EXPECT_LT(Clock::now() - stopped, std::chrono::seconds(3));
+  EXPECT_LT(Clock::now() - stalled_at, std::chrono::seconds(3));
 }
 
 // The same of one that stops in a body that is passed on, whatever it brought just before.
-TEST(Closing, AClientThatStopsInALongBodyIsClosedWithinThreeSeconds) {
-  Server backend([](Connection& wire) {
-    while (wire.ReadMore()) {
+TEST(Closing, ClientStalledInAStreamedBodyIsClosedWithinThreeSeconds) {
+  Server backend([](Connection& connection) {
+    while (connection.ReadMore()) {
     }
   });
-  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}));
-  auto client = site.gateway->Connect();
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+  auto client = fixture.gateway->Connect();
   std::string request = Request("save-scenario", 1, 1400, "", std::string(200000, 'y'));
   client->Write(request.substr(0, 70000));  // more than is held: it is passed on from here
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
   client->Write(request.substr(70000, 40000));
-  auto stopped = Clock::now();
+  auto stalled_at = Clock::now();
   while (!client->WaitForClose()) {
   }
-  EXPECT_LT(Clock::now() - stopped, std::chrono::seconds(3));
+  EXPECT_LT(Clock::now() - stalled_at, std::chrono::seconds(3));
 }
 
 // Another customer's settings: a plan that has neither a rate nor a cap is within its quota.
-TEST(Settings, APlanWithoutAQuotaIsServed) {
+TEST(Settings, PlanWithoutAQuotaIsServed) {
   Backend backend(RespondsWith(OkResponse("x")));
-  GatewayFixture site(
+  GatewayFixture fixture(
       json::array({EndpointEntry("s1", backend.port())}),
-      With({{"/tiers-of-service/0/units-per-s", 0.0}, {"/tiers-of-service/0/store-size", 0.0}}));
-  auto client = site.gateway->Connect();
+      ConfigWith({{"/tiers-of-service/0/units-per-s", 0.0}, {"/tiers-of-service/0/store-size", 0.0}}));
+  auto client = fixture.gateway->Connect();
   for (int spread : {1, 2}) EXPECT_EQ(SendRequest(*client, Request("quote", spread)).status(), 200);
 }
 
--- a/tests/gateway_rig.h
+++ b/tests/gateway_rig.h
@@ -34,11 +34,11 @@
 using nlohmann::json;
 inline constexpr int kEventTimeoutS = 60;  // an event that has not come by then never will
 
-inline int MakeLoopbackSocket(sockaddr_in* at, int port) {
-  *at = {};
-  at->sin_family = AF_INET;
-  at->sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  at->sin_port = htons(static_cast<uint16_t>(port));
+inline int MakeLoopbackSocket(sockaddr_in* address, int port) {
+  *address = {};
+  address->sin_family = AF_INET;
+  address->sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  address->sin_port = htons(static_cast<uint16_t>(port));
   return socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 }
 
@@ -49,14 +49,14 @@
 };
 
 inline ListeningSocket ListenOnLoopback(int backlog) {
-  sockaddr_in at;
+  sockaddr_in address;
   ListeningSocket listening;
-  listening.fd = MakeLoopbackSocket(&at, 0);
-  EXPECT_EQ(bind(listening.fd, reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0);
+  listening.fd = MakeLoopbackSocket(&address, 0);
+  EXPECT_EQ(bind(listening.fd, reinterpret_cast<sockaddr*>(&address), sizeof(address)), 0);
   EXPECT_EQ(listen(listening.fd, backlog), 0);
-  socklen_t size = sizeof(at);
-  getsockname(listening.fd, reinterpret_cast<sockaddr*>(&at), &size);
-  listening.port = ntohs(at.sin_port);
+  socklen_t size = sizeof(address);
+  getsockname(listening.fd, reinterpret_cast<sockaddr*>(&address), &size);
+  listening.port = ntohs(address.sin_port);
   return listening;
 }
 
@@ -64,11 +64,11 @@
   std::string head, body;
   bool complete = false;
   std::string Header(const std::string& name) const {
-    std::string low = ToLower(head), want = "\r\n" + ToLower(name) + ": ";
-    size_t at = low.find(want);
-    if (at == std::string::npos) return "";
-    at += want.size();
-    return head.substr(at, head.find("\r\n", at) - at);
+    std::string lower_head = ToLower(head), prefix = "\r\n" + ToLower(name) + ": ";
+    size_t position = lower_head.find(prefix);
+    if (position == std::string::npos) return "";
+    position += prefix.size();
+    return head.substr(position, head.find("\r\n", position) - position);
   }
   static std::string ToLower(std::string text) {
     for (char& c : text) c = static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
@@ -88,9 +88,9 @@
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
   static std::unique_ptr<Connection> ConnectTo(int port) {
-    sockaddr_in at;
-    int fd = MakeLoopbackSocket(&at, port);
-    EXPECT_EQ(connect(fd, reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0) << std::strerror(errno);
+    sockaddr_in address;
+    int fd = MakeLoopbackSocket(&address, port);
+    EXPECT_EQ(connect(fd, reinterpret_cast<sockaddr*>(&address), sizeof(address)), 0) << std::strerror(errno);
     return std::make_unique<Connection>(fd);
   }
   void Write(const std::string& text) { (void)!send(fd_, text.data(), text.size(), MSG_NOSIGNAL); }
@@ -102,30 +102,30 @@
     return n > 0;
   }
   Message Read() {
-    Message m;
+    Message message;
     size_t end;
     while ((end = unread.find("\r\n\r\n")) == std::string::npos) {
-      if (!ReadMore()) return m;
+      if (!ReadMore()) return message;
     }
-    m.head = unread.substr(0, end + 2);
-    size_t length = static_cast<size_t>(std::atol(m.Header("Content-Length").c_str()));
+    message.head = unread.substr(0, end + 2);
+    size_t length = static_cast<size_t>(std::atol(message.Header("Content-Length").c_str()));
     while (unread.size() < end + 4 + length) {
-      if (!ReadMore()) return m;
+      if (!ReadMore()) return message;
     }
-    m.body = unread.substr(end + 4, length);
+    message.body = unread.substr(end + 4, length);
     unread.erase(0, end + 4 + length);
-    m.complete = true;
-    return m;
+    message.complete = true;
+    return message;
   }
   // Reads until `text` is among what was read, and takes all up to its end.
   std::string ReadUntil(const std::string& text) {
-    size_t at;
-    while ((at = unread.find(text)) == std::string::npos) {
+    size_t position;
+    while ((position = unread.find(text)) == std::string::npos) {
       if (!ReadMore()) return "";
     }
-    std::string taken = unread.substr(0, at + text.size());
-    unread.erase(0, at + text.size());
-    return taken;
+    std::string text_read = unread.substr(0, position + text.size());
+    unread.erase(0, position + text.size());
+    return text_read;
   }
   bool ReadUntil(size_t bytes) {
     while (unread.size() < bytes) {
@@ -149,9 +149,9 @@
   }
   // Waits until the other side's system has all that was written.
   bool WaitUntilDelivered() const {
-    for (int i = 0, left = 1; i < kEventTimeoutS * 1000; ++i) {
-      if (ioctl(fd_, SIOCOUTQ, &left) != 0) return false;
-      if (left == 0) return true;
+    for (int i = 0, unacknowledged = 1; i < kEventTimeoutS * 1000; ++i) {
+      if (ioctl(fd_, SIOCOUTQ, &unacknowledged) != 0) return false;
+      if (unacknowledged == 0) return true;
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
     }
     return false;
@@ -172,17 +172,17 @@
  public:
   using Handler = std::function<void(Connection&)>;
   explicit Server(Handler handler) : handler_(std::move(handler)), listening_(ListenOnLoopback(kBacklog)) {
-    accepting_ = std::thread([this] {
+    accept_thread_ = std::thread([this] {
       for (;;) {
         int fd = accept(listening_.fd, nullptr, nullptr);
         if (fd < 0) return;
         std::lock_guard lock(mutex_);
         if (stopping_) return void(close(fd));
         ++connections;
-        wires_.push_back(std::make_unique<Connection>(fd));
-        threads_.emplace_back([this, wire = wires_.back().get()] {
-          handler_(*wire);
-          wire->Shutdown();
+        open_connections_.push_back(std::make_unique<Connection>(fd));
+        threads_.emplace_back([this, connection = open_connections_.back().get()] {
+          handler_(*connection);
+          connection->Shutdown();
         });
       }
     });
@@ -193,10 +193,10 @@
     {
       std::lock_guard lock(mutex_);
       stopping_ = true;
-      for (auto& wire : wires_) wire->Shutdown();
+      for (auto& connection : open_connections_) connection->Shutdown();
     }
     shutdown(listening_.fd, SHUT_RDWR);
-    accepting_.join();
+    accept_thread_.join();
     for (auto& thread : threads_) thread.join();
     close(listening_.fd);
     listening_.fd = -1;
@@ -210,9 +210,9 @@
   ListeningSocket listening_;
   std::mutex mutex_;
   bool stopping_ = false;
-  std::vector<std::unique_ptr<Connection>> wires_;
+  std::vector<std::unique_ptr<Connection>> open_connections_;
   std::vector<std::thread> threads_;
-  std::thread accepting_;
+  std::thread accept_thread_;
 };
 
 // A listener whose connections do not come up until Free: its queue is full, and what asks to connect asks
@@ -223,7 +223,7 @@
   ~BlockedListener() { close(listening_.fd); }
   int port() const { return listening_.port; }
   void Unblock() {
-    Connection taken(accept(listening_.fd, nullptr, nullptr));
+    Connection filler(accept(listening_.fd, nullptr, nullptr));
     filler_->Close();
   }
   std::unique_ptr<Connection> Accept() {
@@ -231,15 +231,15 @@
   }
   // All that has been sent to it; once the other side has ended, that is all there will ever be.
   std::string ReceivedBytes() {
-    std::string all;
-    pollfd ready{listening_.fd, POLLIN, 0};
-    while (poll(&ready, 1, 0) > 0) {
-      Connection late(accept(listening_.fd, nullptr, nullptr));
-      while (late.ReadMore()) {
+    std::string bytes;
+    pollfd queue{listening_.fd, POLLIN, 0};
+    while (poll(&queue, 1, 0) > 0) {
+      Connection connection(accept(listening_.fd, nullptr, nullptr));
+      while (connection.ReadMore()) {
       }
-      all += late.unread;
+      bytes += connection.unread;
     }
-    return all;
+    return bytes;
   }
 
  private:
@@ -279,20 +279,20 @@
 // connection.
 class Backend {
  public:
-  using Answer = std::function<std::string(const Message&, Connection&)>;
-  explicit Backend(Answer answer)
-      : server_([this, answer = std::move(answer)](Connection& wire) {
+  using Handler = std::function<std::string(const Message&, Connection&)>;
+  explicit Backend(Handler handler)
+      : server_([this, handler = std::move(handler)](Connection& connection) {
           for (;;) {
-            Message request = wire.Read();
+            Message request = connection.Read();
             if (!request.complete) return;
             {
               std::lock_guard lock(mutex_);
               requests_.push_back(request);
             }
             requests.Notify();
-            std::string text = answer(request, wire);
-            if (text.empty()) return;
-            wire.Write(text);
+            std::string response = handler(request, connection);
+            if (response.empty()) return;
+            connection.Write(response);
           }
         }) {}
   int port() const { return server_.port(); }
@@ -320,32 +320,33 @@
 class Discovery {
  public:
   Discovery()
-      : server_([this](Connection& wire) {
-          for (bool whole_before = false;;) {
-            Message ask = wire.Read();
-            if (!ask.complete) return;
-            size_t at = ask.head.find("after=");
-            if (whole_before) full_lists_applied.Notify();
-            whole_before = at == std::string::npos;
-            long after = at == std::string::npos ? -1 : std::atol(ask.head.c_str() + at + 6);
+      : server_([this](Connection& connection) {
+          for (bool full_list_sent = false;;) {
+            Message request = connection.Read();
+            if (!request.complete) return;
+            size_t position = request.head.find("after=");
+            if (full_list_sent) full_lists_applied.Notify();
+            full_list_sent = position == std::string::npos;
+            long after = position == std::string::npos ? -1 : std::atol(request.head.c_str() + position + 6);
             std::unique_lock lock(mutex_);
             if (after >= 0) watches_[after].Notify();
-            at = ask.head.find("wait_ms=");
-            auto until =
-                std::chrono::steady_clock::now() +
-                std::chrono::milliseconds(at == std::string::npos ? 0 : std::atol(ask.head.c_str() + at + 8));
-            changed_.wait_until(lock, until, [&] { return stopping_ || (!silent_ && index_ > after); });
+            position = request.head.find("wait_ms=");
+            auto deadline = std::chrono::steady_clock::now() +
+                            std::chrono::milliseconds(position == std::string::npos
+                                                          ? 0
+                                                          : std::atol(request.head.c_str() + position + 8));
+            changed_.wait_until(lock, deadline, [&] { return stopping_ || (!silent_ && index_ > after); });
             changed_.wait(lock, [&] { return stopping_ || !silent_; });
             if (stopping_) return;
-            bool news = index_ > after;
+            bool changed = index_ > after;
             std::string text = json{{"index", index_},
-                                    {"snapshot", news && (snapshot_ || after < 0)},
-                                    {"endpoints", !news       ? json::array()
-                                                  : after < 0 ? whole_
+                                    {"snapshot", changed && (snapshot_ || after < 0)},
+                                    {"endpoints", !changed    ? json::array()
+                                                  : after < 0 ? full_list_
                                                               : entries_}}
                                    .dump();
-            if (!garbage_.empty()) text = std::exchange(garbage_, "");
-            wire.Write(OkResponse(text));
+            if (!malformed_body_.empty()) text = std::exchange(malformed_body_, "");
+            connection.Write(OkResponse(text));
           }
         }) {}
   ~Discovery() {
@@ -356,12 +357,12 @@
     }
     server_.Stop();
   }
-  void SetList(json entries, bool snapshot = true, json whole = {}, std::string garbage = "") {
+  void SetList(json entries, bool snapshot = true, json full_list = {}, std::string malformed_body = "") {
     std::lock_guard lock(mutex_);
-    whole_ = snapshot ? entries : whole;
+    full_list_ = snapshot ? entries : full_list;
     entries_ = std::move(entries);
     snapshot_ = snapshot;
-    garbage_ = std::move(garbage);
+    malformed_body_ = std::move(malformed_body);
     ++index_;
     changed_.notify_all();
   }
@@ -385,8 +386,8 @@
   std::condition_variable changed_;
   bool stopping_ = false, silent_ = false, snapshot_ = true;
   long index_ = 0;
-  json entries_ = json::array(), whole_ = json::array();
-  std::string garbage_;
+  json entries_ = json::array(), full_list_ = json::array();
+  std::string malformed_body_;
   std::map<long, Event> watches_;
   Server server_;
 };
@@ -407,15 +408,15 @@
 };
 
 inline json DefaultSettings() {
-  auto cls = [](const char* name, const char* effect, double aim, double limit) {
-    return json{{"name", name},          {"effect", effect},     {"aim-s", aim},
-                {"hard-limit-s", limit}, {"window-s", 3.0},      {"importance", 1.0},
-                {"late-share", 0.0},     {"dedup-scope", "all"}, {"streamed", false}};
+  auto request_class = [](const char* name, const char* effect, double aim_s, double hard_limit_s) {
+    return json{{"name", name},     {"effect", effect},  {"aim-s", aim_s},    {"hard-limit-s", hard_limit_s},
+                {"window-s", 3.0},  {"importance", 1.0}, {"late-share", 0.0}, {"dedup-scope", "all"},
+                {"streamed", false}};
   };
-  auto plan = [](const char* name, double rate, double store, int parallel) {
-    return json{{"name", name},           {"units-per-s", rate},  {"store-size", store},
-                {"never-over-rate", 0.0}, {"ceiling-burst", 0.0}, {"cap-slack", 0.0},
-                {"excess-worth", 0.0},    {"over-cost", 0.8},     {"value-factor", 1.0},
+  auto plan = [](const char* name, double units_per_s, double store_size, int parallel) {
+    return json{{"name", name},           {"units-per-s", units_per_s}, {"store-size", store_size},
+                {"never-over-rate", 0.0}, {"ceiling-burst", 0.0},       {"cap-slack", 0.0},
+                {"excess-worth", 0.0},    {"over-cost", 0.8},           {"value-factor", 1.0},
                 {"parallel", parallel}};
   };
   return {{"me", 0},
@@ -444,22 +445,24 @@
             {"ask-within-s", 10.0},
             {"drain-grace-s", 0.5}}},
           {"request-classes",
-           {cls("quote", "free", 1.2, 3.0), cls("save-scenario", "guarded", 0.4, 1.5),
-            cls("send-lead", "single_shot", 0.8, 2.5)}},
+           {request_class("quote", "free", 1.2, 3.0), request_class("save-scenario", "guarded", 0.4, 1.5),
+            request_class("send-lead", "single_shot", 0.8, 2.5)}},
           {"tiers-of-service", {plan("business", 12, 32, 0), plan("small", 1, 2, 0)}}};
 }
 
-inline json DefaultConfig(int discovery, int counter, json known = {}) {
-  auto at = [](int port) { return "127.0.0.1:" + std::to_string(port); };
-  return {
-      {"name", "n0"},
-      {"listen", at(0)},
-      {"discovery", at(discovery)},
-      {"counter", at(counter)},
-      {"seed", "8c1f30d27a5be964"},
-      {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 1024}}},
-      {"known", {{"index", 0}, {"snapshot", true}, {"endpoints", known.is_array() ? known : json::array()}}},
-      {"settings", DefaultSettings()}};
+inline json DefaultConfig(int discovery_port, int counter_port, json known_endpoints = {}) {
+  auto loopback_address = [](int port) { return "127.0.0.1:" + std::to_string(port); };
+  return {{"name", "n0"},
+          {"listen", loopback_address(0)},
+          {"discovery", loopback_address(discovery_port)},
+          {"counter", loopback_address(counter_port)},
+          {"seed", "8c1f30d27a5be964"},
+          {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 1024}}},
+          {"known",
+           {{"index", 0},
+            {"snapshot", true},
+            {"endpoints", known_endpoints.is_array() ? known_endpoints : json::array()}}},
+          {"settings", DefaultSettings()}};
 }
 
 // A running gateway. `environment` is set for it alone.
@@ -467,27 +470,27 @@
  public:
   using Environment = std::map<std::string, std::string>;
   explicit GatewayProcess(const json& config, const char* program = LEMONCHUTE_GATEWAY,
-                          rlim_t descriptors = 0, const Environment& environment = {}, int passed = -1)
-      : GatewayProcess(config.dump(), program, descriptors, environment, passed) {}
+                          rlim_t descriptors = 0, const Environment& environment = {}, int passed_socket = -1)
+      : GatewayProcess(config.dump(), program, descriptors, environment, passed_socket) {}
   // `passed`: a listening socket that the process inherits as descriptor 4.
   GatewayProcess(const std::string& config, const char* program, rlim_t descriptors,
-                 const Environment& environment = {}, int passed = -1) {
+                 const Environment& environment = {}, int passed_socket = -1) {
     char path[] = "/tmp/lemonchute-test-XXXXXX";
     int file = mkstemp(path);
     EXPECT_GE(file, 0);
     path_ = path;
     EXPECT_EQ(write(file, config.data(), config.size()), static_cast<ssize_t>(config.size()));
     close(file);
-    int ends[2];
-    EXPECT_EQ(pipe(ends), 0);
+    int pipe_fds[2];
+    EXPECT_EQ(pipe(pipe_fds), 0);
     pid_ = fork();
     if (pid_ == 0) {
-      dup2(ends[1], 2);
-      if (passed >= 0) dup2(passed, 4);
+      dup2(pipe_fds[1], 2);
+      if (passed_socket >= 0) dup2(passed_socket, 4);
       for (int fd = 3; fd < 1024; ++fd) {
-        if (fd != 4 || passed < 0) close(fd);
+        if (fd != 4 || passed_socket < 0) close(fd);
       }
-      if (passed >= 0) setenv("LB_PASSED_SOCKET", "4", 1);
+      if (passed_socket >= 0) setenv("LB_PASSED_SOCKET", "4", 1);
       setenv("LB_CONFIG", path, 1);
       unsetenv("TMPDIR");
       for (const auto& [name, value] : environment) setenv(name.c_str(), value.c_str(), 1);
@@ -496,26 +499,27 @@
       execl(program, program, static_cast<char*>(nullptr));
       _exit(127);
     }
-    close(ends[1]);
-    err_ = ends[0];
-    auto told = [&](const char* what) {  // the port at the end of that line; 0 where the log ends before it
-      for (;;) {
-        char c = 0;
-        std::string next;
-        while (read(err_, &c, 1) == 1 && c != '\n') next += c;
-        if (next.empty() && c != '\n') return 0;
-        if (!listen_line.empty()) early_log += listen_line + "\n";
-        listen_line = next;
-        if (listen_line.find(what) != std::string::npos)
-          return std::atoi(listen_line.c_str() + listen_line.rfind(':') + 1);
-      }
-    };
-    if (environment.count("LB_OPS") != 0) admin_port = told("operators at ");
-    port = told(" listens on ");
-    draining_ = std::thread([this] {  // its log must not fill the pipe
+    close(pipe_fds[1]);
+    log_fd_ = pipe_fds[0];
+    auto await_port =
+        [&](const char* prefix) {  // the port at the end of that line; 0 where the log ends before it
+          for (;;) {
+            char c = 0;
+            std::string next;
+            while (read(log_fd_, &c, 1) == 1 && c != '\n') next += c;
+            if (next.empty() && c != '\n') return 0;
+            if (!listen_line.empty()) early_log += listen_line + "\n";
+            listen_line = next;
+            if (listen_line.find(prefix) != std::string::npos)
+              return std::atoi(listen_line.c_str() + listen_line.rfind(':') + 1);
+          }
+        };
+    if (environment.count("LB_OPS") != 0) admin_port = await_port("operators at ");
+    port = await_port(" listens on ");
+    log_reader_ = std::thread([this] {  // its log must not fill the pipe
       char part[4096];
       ssize_t n;
-      while ((n = read(err_, part, sizeof(part))) > 0) late_log.append(part, static_cast<size_t>(n));
+      while ((n = read(log_fd_, part, sizeof(part))) > 0) late_log.append(part, static_cast<size_t>(n));
     });
   }
   ~GatewayProcess() {
@@ -529,17 +533,17 @@
   // Replaces the configuration file as a whole and says so.
   void Reconfigure(const json& config) { Reconfigure(config.dump()); }
   void Reconfigure(const std::string& config) {
-    std::string fresh = path_ + ".new";
-    std::ofstream(fresh) << config;
-    EXPECT_EQ(std::rename(fresh.c_str(), path_.c_str()), 0);
+    std::string new_path = path_ + ".new";
+    std::ofstream(new_path) << config;
+    EXPECT_EQ(std::rename(new_path.c_str(), path_.c_str()), 0);
     Signal(SIGHUP);
   }
   int WaitForExit() {
     int status = 0;
     waitpid(pid_, &status, 0);
     pid_ = -1;
-    draining_.join();
-    close(err_);
+    log_reader_.join();
+    close(log_fd_);
     return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
   }
   // The most memory that it has had, in kB.
@@ -565,28 +569,28 @@
 
  private:
   pid_t pid_ = -1;
-  int err_ = -1;
+  int log_fd_ = -1;
   std::string path_;
-  std::thread draining_;
+  std::thread log_reader_;
 };
 
-inline std::string Request(const std::string& cls, int spread = 1, int timeout_ms = 3000,
-                           const std::string& more = "", const std::string& body = "") {
+inline std::string Request(const std::string& class_name, int spread = 1, int timeout_ms = 3000,
+                           const std::string& extra_headers = "", const std::string& body = "") {
   static std::atomic<int> last{0};
   std::string id = std::to_string(1000 + ++last);
-  std::string text =
-      (cls.substr(0, 5) == "quote" ? "GET /" : "POST /") + cls + " HTTP/1.1\r\nHost: app.svc\r\n";
+  std::string text = (class_name.substr(0, 5) == "quote" ? "GET /" : "POST /") + class_name +
+                     " HTTP/1.1\r\nHost: app.svc\r\n";
   text += "Request-Id: " + id + "\r\nX-Tier: business\r\nCookie: client=00000000b4d65521\r\n";
   text += "Request-Timeout-Ms: " + std::to_string(timeout_ms) + "\r\n";
   text += "X-Call-Terms: units=1,spread=" + std::to_string(spread) + ",first=0\r\n";
-  if (cls == "save-scenario") text += "Idempotency-Key: k" + id + "\r\n";
+  if (class_name == "save-scenario") text += "Idempotency-Key: k" + id + "\r\n";
   if (!body.empty()) text += "Content-Length: " + std::to_string(body.size()) + "\r\n";
-  return text + more + "\r\n" + body;
+  return text + extra_headers + "\r\n" + body;
 }
 
-inline Message SendRequest(Connection& wire, const std::string& request) {
-  wire.Write(request);
-  return wire.Read();
+inline Message SendRequest(Connection& connection, const std::string& request) {
+  connection.Write(request);
+  return connection.Read();
 }
 
 }  // namespace rig
--- a/tests/gateway_site.h
+++ b/tests/gateway_site.h
@@ -14,23 +14,23 @@
 // The counter: answers one call after another by `answer(name, amount)`; an empty text answers nothing.
 class Counter {
  public:
-  using Answer = std::function<std::string(const std::string&, double)>;
-  explicit Counter(Answer answer)
-      : server_([this, answer = std::move(answer)](Connection& wire) {
+  using Handler = std::function<std::string(const std::string&, double)>;
+  explicit Counter(Handler handler)
+      : server_([this, handler = std::move(handler)](Connection& connection) {
           for (;;) {
-            std::vector<std::string> parts;
+            std::vector<std::string> arguments;
             std::string first;
-            if (!Line(wire, &first)) return;
+            if (!ReadLine(connection, &first)) return;
             for (int i = 0; i < std::atoi(first.c_str() + 1); ++i) {
-              std::string size, part;
-              if (!Line(wire, &size) || !Line(wire, &part)) return;
-              EXPECT_EQ(static_cast<size_t>(std::atoi(size.c_str() + 1)), part.size());
-              parts.push_back(part);
+              std::string size, argument;
+              if (!ReadLine(connection, &size) || !ReadLine(connection, &argument)) return;
+              EXPECT_EQ(static_cast<size_t>(std::atoi(size.c_str() + 1)), argument.size());
+              arguments.push_back(argument);
             }
-            EXPECT_EQ(parts.size(), 4u);
-            EXPECT_LE(parts[1].size(), 64u);
+            EXPECT_EQ(arguments.size(), 4u);
+            EXPECT_LE(arguments[1].size(), 64u);
             calls.Notify();
-            wire.Write(answer(parts[1], std::atof(parts[2].c_str())));
+            connection.Write(handler(arguments[1], std::atof(arguments[2].c_str())));
           }
         }) {}
   int port() const { return server_.port(); }
@@ -39,13 +39,13 @@
   Event calls;
 
  private:
-  static bool Line(Connection& wire, std::string* line) {
+  static bool ReadLine(Connection& connection, std::string* line) {
     size_t end;
-    while ((end = wire.unread.find("\r\n")) == std::string::npos) {
-      if (!wire.ReadMore()) return false;
+    while ((end = connection.unread.find("\r\n")) == std::string::npos) {
+      if (!connection.ReadMore()) return false;
     }
-    *line = wire.unread.substr(0, end);
-    wire.unread.erase(0, end + 2);
+    *line = connection.unread.substr(0, end);
+    connection.unread.erase(0, end + 2);
     return true;
   }
   Server server_;
@@ -72,13 +72,13 @@
   std::unique_ptr<GatewayProcess> gateway;
 };
 
-inline Backend::Answer RespondsWith(const std::string& text) {
+inline Backend::Handler RespondsWith(const std::string& text) {
   return [text](const Message&, Connection&) { return text; };
 }
 // Says nothing until the gateway gives the attempt up.
-inline Backend::Answer HangsUntilClosed(Event* given_up) {
-  return [given_up](const Message&, Connection& wire) {
-    if (wire.WaitForClose()) given_up->Notify();
+inline Backend::Handler HangsUntilClosed(Event* connection_closed) {
+  return [connection_closed](const Message&, Connection& connection) {
+    if (connection.WaitForClose()) connection_closed->Notify();
     return std::string();
   };
 }
@@ -101,9 +101,9 @@
 }
 
 // A request of a customer not seen before, so that no quota is in its way.
-inline std::string RequestOfNewCustomer(const std::string& cls) {
+inline std::string RequestOfNewCustomer(const std::string& class_name) {
   static int last = 0;
-  std::string request = Request(cls), customer = std::to_string(10000000 + ++last);
+  std::string request = Request(class_name), customer = std::to_string(10000000 + ++last);
   return request.replace(request.find("b4d65521"), 8, customer);
 }
 
@@ -129,9 +129,9 @@
     }
     EXPECT_EQ(AdminCall(process.admin_port, "GET", "/control/ready").status(), 200);
   }
-  Event held, go;
-  Backend backend{[this](const Message& m, Connection&) {
-    if (m.body == "wait") held.Notify(), go.Wait();
+  Event request_held, release;
+  Backend backend{[this](const Message& request, Connection&) {
+    if (request.body == "wait") request_held.Notify(), release.Wait();
     return OkResponse("x");
   }};
   Counter counter{[](const std::string&, double) { return BulkString("0"); }};
