--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,5 +1,5 @@
-// lemonchute: starts one gateway and handles its signals. With --check FILE it only prints what is wrong with
-// that configuration.
+// The lemonchute program: starts one gateway and handles its signals. With --check FILE it only prints the
+// faults and warnings of that configuration.
 #include <csignal>
 #include <cstdio>
 #include <cstdlib>
@@ -24,15 +24,14 @@
   std::printf("%zu faults, %zu warnings\n", findings.faults.size(), findings.warnings.size());
 }
 
-// Checks a configuration file as strictly as one that an operator puts.
-// @return the exit status.
+// Checks a configuration file as strictly as one that is put by an operator. Returns the exit status.
 int CheckFile(const char* path) {
   std::ifstream in(path, std::ios::binary);
   if (!in) {
     std::fprintf(stderr, "lemonchute: cannot read %s\n", path);
     return kExitUsage;
   }
-  // One byte more than is allowed, to detect a file that is too long.
+  // Reads one byte more than is allowed, to detect a file that is too long.
   std::string text(config::kMaxDocumentBytes + 1, '\0');
   in.read(text.data(), static_cast<std::streamsize>(text.size()));
   text.resize(static_cast<size_t>(in.gcount()));
@@ -52,13 +51,13 @@
                local.port());
 }
 
-// Runs a gateway until SIGTERM or SIGINT has shut it down. Throws where it can't start.
+// Runs a gateway until SIGTERM or SIGINT has shut it down. Throws if it can't start.
 void RunGateway() {
   const char* path = std::getenv("LB_CONFIG");
-  if (path == nullptr) throw policy::ProtocolError("LB_CONFIG does not name the configuration");
+  if (path == nullptr) throw policy::ProtocolError("LB_CONFIG must name the configuration file");
   boost::asio::io_context io(1);
-  // Registered before the configuration is read: a signal during the start waits for the event loop instead
-  // of ending the process.
+  // Registered before the configuration is read, so that a signal during startup is handled by the event loop
+  // instead of ending the process.
   boost::asio::signal_set shutdown(io, SIGTERM, SIGINT);
   boost::asio::signal_set reload(io, SIGHUP);
   const char* folder = std::getenv("TMPDIR");
@@ -90,7 +89,7 @@
 int main(int argc, char** argv) {
   if (argc == 3 && std::strcmp(argv[1], "--check") == 0) return lemonchute::CheckFile(argv[2]);
   if (argc != 1) {
-    std::fprintf(stderr, "usage: lemonchute, or lemonchute --check FILE\n");
+    std::fprintf(stderr, "usage: lemonchute | lemonchute --check FILE\n");
     return lemonchute::kExitUsage;
   }
   std::signal(SIGPIPE, SIG_IGN);
--- a/src/net/attempt.h
+++ b/src/net/attempt.h
@@ -1,5 +1,5 @@
-// One attempt of a request on a backend, as its sender and the backend pool exchange it: message, limits,
-// streams and outcome.
+// The interface between the sender of an attempt and the backend pool: message, time limits, streaming
+// callbacks and outcome.
 #ifndef LEMONCHUTE_NET_ATTEMPT_H_
 #define LEMONCHUTE_NET_ATTEMPT_H_
 
@@ -13,10 +13,10 @@
 
 namespace lemonchute::net {
 
-/// policy::kMaxProcessStallS, for times of sockets.
+/// policy::kMaxProcessStallS as a duration.
 inline constexpr auto kMaxProcessStall =
     std::chrono::round<std::chrono::milliseconds>(std::chrono::duration<double>(policy::kMaxProcessStallS));
-/// Tolerance that the protocol's rules add to each of their time limits.
+/// Tolerance that the rules of the protocol specification add to each time limit (PROTOCOL).
 inline constexpr auto kDeadlineSlack = std::chrono::milliseconds(50);
 
 /// Outcome of one attempt. Reported exactly once, unless the attempt is cancelled.
@@ -24,8 +24,8 @@
   policy::AttemptResult result = policy::AttemptResult::kOk;
   bool streamed = false;  ///< Header and body were delivered through AttemptStream and are not here.
   double duration_s = 0;  ///< Time from BackendPool::Send to the end of the attempt.
-  /// The part of `duration_s` that the backend does not account for: until the last byte of a streamed
-  /// request, or until a connect could be issued.
+  /// The part of `duration_s` that was not spent at the backend: until the last byte of a streamed request,
+  /// or until a connect could be issued.
   double upload_s = 0;
   double actual_units = 0;  ///< Cost reported by the backend; 0 if none was.
   std::string headers;      ///< End-to-end header lines of a 200 response.
@@ -35,22 +35,22 @@
 /// Callbacks for messages that are too large to be buffered.
 struct AttemptStream {
   /// A streamed response begins.
-  /// @param headers its end-to-end header lines
-  /// @param length its body's length in bytes, if known
-  /// @return false if the response has no receiver any more; the attempt then ends as cancelled
+  /// @param headers end-to-end header lines
+  /// @param length length of the body in bytes, if known
+  /// @return false if nobody waits for the response any more; the attempt then ends as cancelled
   std::function<bool(std::string headers, std::optional<uint64_t> length)> on_begin;
   /// The next piece of the response's body. The following piece is delivered only after `on_consumed` was
   /// called, within this call or later.
   std::function<void(std::string piece, std::function<void()> on_consumed)> on_piece;
-  /// Set if the message holds only the beginning of the request: asks for the following bytes of it.
+  /// Requests the next bytes of the request. Set only if the message holds just the beginning of it.
   std::function<void(std::function<void(std::string bytes, bool last)>)> request_more;
 };
 
 /// The buffered bytes of a request.
 struct AttemptMessage {
   std::string text;
-  /// Offset in `text` at which the remaining time in milliseconds is inserted when the message is written,
-  /// since connecting may take time; npos: nowhere.
+  /// Offset in `text` at which the remaining time in milliseconds is inserted. It is inserted when the
+  /// message is written, because connecting may take time. npos: not inserted.
   size_t timeout_offset = std::string::npos;
   double max_timeout_s = 0;  ///< Upper bound of the inserted time: the client's own timeout.
   /// Called immediately before the first byte is written. False ends the attempt as kNotSent.
--- a/src/net/backend_connection.cpp
+++ b/src/net/backend_connection.cpp
@@ -15,29 +15,29 @@
 
 namespace {
 
-// The time announced to the backend in Request-Timeout-Ms may exceed what is left by so much (protocol).
+// By how much the time announced in Request-Timeout-Ms may exceed the remaining time (PROTOCOL).
 constexpr double kTimeoutHeaderSlackS = 0.15;
-// Subtracted from the announced time, because a descheduled process alone uses up the whole slack.
+// Subtracted from the announced time, because a descheduled process can use up the whole slack by itself.
 constexpr double kTimeoutHeaderMarginS = 0.01;
 // Pause before a connection is reused. A backend may send a duplicate response some milliseconds after the
 // first, which would be matched to the next request. More than twice the longest delay observed; a longer
-// pause costs more new connections.
+// pause would require more new connections.
 constexpr auto kReuseDelay = std::chrono::milliseconds(10);
-// A streamed message without progress for so long is taken to be broken off.
+// A streamed message without progress for this long counts as aborted.
 constexpr auto kStallTimeout = std::chrono::seconds(10);
 // How long after its deadline a small response that has begun may complete: half of the lateness that the
-// platform allows a final response.
+// platform allows for a final response.
 constexpr auto kLateResponseGrace = std::chrono::milliseconds(250);
-// Between connects that fail for lack of a resource of this machine.
+// Backoff between connects that fail because a local resource is exhausted.
 constexpr auto kMinConnectBackoff = std::chrono::milliseconds(2);
 constexpr auto kMaxConnectBackoff = std::chrono::milliseconds(50);
-constexpr double kMaxReportedUnits = 65535;  // upper bound of a backend's X-Cost-Units
+constexpr double kMaxReportedUnits = 65535;  // upper bound for X-Cost-Units
 
 double ElapsedSeconds(Clock::time_point from, Clock::time_point to) {
   return std::chrono::duration<double>(to - from).count();
 }
 
-// Headers of a response that are meant for the gateway.
+// Whether a response header is meant for the gateway and not for the client.
 bool IsInternalHeader(std::string_view name) {
   return boost::beast::iequals({name.data(), name.size()}, "X-Cost-Units") ||
          boost::beast::iequals({name.data(), name.size()}, "Server-Load");
@@ -49,7 +49,7 @@
                  [](const auto& field) { return IsInternalHeader(ToStringView(field.name_string())); });
 }
 
-// Reads X-Cost-Units; 0 if it is no positive number.
+// Parses X-Cost-Units; 0 if it is not a positive number.
 double ParseCostUnits(std::string_view text) {
   double units = 0;
   const char* end = text.data() + text.size();
@@ -134,7 +134,7 @@
 void BackendConnection::WaitUntil(Clock::time_point when) {
   timer_.expires_at(when);
   timer_.async_wait([self = shared_from_this(), this](error_code error) {
-    // The timer may have been set anew after this handler was queued.
+    // The timer may have been restarted after this handler was queued.
     if (error || closed_ || Clock::now() < timer_.expiry()) return;
     OnTimer();
   });
@@ -149,12 +149,12 @@
   if (streaming_response_ && HasResponseDeadline() && Clock::now() >= deadline_ + kLateResponseGrace)
     return Finish(AttemptResult::kReset);
   if (streaming_response_) {
-    // No stall while the client's side holds a piece: its own write timeout applies then.
+    // Waiting for the client to consume a piece is no stall: the client's own write timeout applies.
     auto stalled_at = (awaiting_consumer_ ? Clock::now() : last_read_at_) + kStallTimeout;
     return Clock::now() < stalled_at ? WaitForStream(stalled_at) : Finish(AttemptResult::kReset);
   }
   if (streamed_request_ && !written_ && open_ && Clock::now() < deadline_) {
-    // No stall while the client's next piece is awaited.
+    // Waiting for the next piece from the client is no stall.
     auto stalled_at = (awaiting_upload_ ? Clock::now() : last_write_at_) + kStallTimeout;
     if (Clock::now() < stalled_at) return WaitUntil(std::min(stalled_at, deadline_));
   }
@@ -164,8 +164,8 @@
                            : AttemptResult::kConnectFailed);
 }
 
-// Whether a streamed response must end by the request's deadline. One larger than kMaxBody only has to begin
-// in time and to make progress.
+// Whether a streamed response must end by the request's deadline. A response larger than kMaxBody only has to
+// begin in time and to make progress.
 bool BackendConnection::HasResponseDeadline() const {
   return parser_->content_length().value_or(0) <= kMaxBody && delivered_bytes_ <= kMaxBody;
 }
@@ -189,8 +189,8 @@
   socket_.async_connect(address_, on_connect);
 }
 
-// A resource that this machine lacks says nothing about the backend and may be available again in a moment.
-// The connect is retried here, since an attempt on another backend would fail alike.
+// A local resource shortage says nothing about the backend and may be over in a moment. The connect is
+// retried here, since an attempt on another backend would fail in the same way.
 void BackendConnection::OnConnectFailed(error_code error) {
   if (!IsResourceShortage(error.value())) return Finish(AttemptResult::kConnectFailed);
   local_shortage_ = true;
@@ -203,8 +203,8 @@
 }
 
 void BackendConnection::OnConnected() {
-  // Nothing is sent after a late connect or a stall of the process if the deadline, the retry window or the
-  // drain's grace has passed, or if the client has left.
+  // After a late connect or a stall of the process nothing is sent if the deadline, the retry window or the
+  // grace period of a drain has passed, or if the client has gone.
   if (Clock::now() >= send_deadline_ || !pool_->IsSendAllowed(backend_))
     return FailUnsent(AttemptResult::kConnectFailed);
   if (may_send_ && !may_send_()) return FailUnsent(AttemptResult::kNotSent);
@@ -225,7 +225,7 @@
   return announced_s;
 }
 
-// Checks the time limits once more against the clock as it stands after the first bytes were sent.
+// Checks the time limits again with the time after the first bytes were sent.
 void BackendConnection::CheckSendInvariants(double announced_s) {
   auto now = Clock::now();
   Invariants& invariants = pool_->metrics_->invariants;
@@ -253,7 +253,7 @@
       message_ = std::string();
       return;
     }
-    // Before its last byte was written the request has not begun. Posted, since the caller may be in Start.
+    // The last byte was not written, so the request has not begun. Posted, as the caller may be in Start.
     asio::post(pool_->io_, [self, this, current] {
       if (busy_ && attempt_ == current) Finish(AttemptResult::kConnectFailed);
     });
@@ -262,8 +262,8 @@
 
 void BackendConnection::RequestNextPiece() {
   awaiting_upload_ = true;
-  auto request_more =
-      stream_.request_more;  // a copy, because the last piece clears the member during the call
+  // A copy, because the last piece clears the member during the call.
+  auto request_more = stream_.request_more;
   request_more([self = shared_from_this(), this, current = attempt_](std::string bytes, bool last) {
     if (closed_ || !busy_ || attempt_ != current) return;
     awaiting_upload_ = false;
@@ -277,7 +277,7 @@
   });
 }
 
-// Ends the attempt with nothing sent, after the caller has returned. An open connection stays usable.
+// Ends the attempt without sending anything, after the caller has returned. An open connection stays usable.
 void BackendConnection::FailUnsent(AttemptResult result) {
   if (!reading_) Read();
   asio::post(pool_->io_, [self = shared_from_this(), this, current = attempt_, result] {
@@ -315,18 +315,18 @@
 
 void BackendConnection::Parse() {
   error_code error = Decode();
-  // Malformed, or larger than any limit.
+  // Malformed, or over a size limit.
   if (error && error != http::error::need_more)
     return Finish(written_ ? AttemptResult::kReset : AttemptResult::kConnectFailed);
   if (written_ && parser_->is_header_done() && !streaming_response_ && ShouldStream()) {
     if (parser_->get().result_int() != 200) return OnResponse(false);  // the body is not needed
     if (!BeginStream()) return Finish(AttemptResult::kCancelled);
   }
-  // So large a response can't belong to a request that is not written yet.
+  // A response this large can't belong to a request that is not written completely.
   if (!written_ && body_.size() > kMaxBody) return Finish(AttemptResult::kConnectFailed);
   if (streaming_response_ && !body_.empty()) DeliverPiece();
   if (closed_ || awaiting_consumer_ || !parser_->is_done()) return;
-  // A response before the request is complete: the request has not begun, and the framing is in doubt.
+  // A response to an incomplete request: the request has not begun, and the framing is unreliable.
   if (!written_) return Finish(AttemptResult::kConnectFailed);
   OnResponse(parser_->keep_alive() && buffer_.size() == 0);
 }
@@ -351,8 +351,8 @@
   return error;
 }
 
-// Whether to stream the response instead of buffering it. One of unknown length is streamed early, since it
-// may come slowly. A small one is buffered completely, so that the request can still be retried.
+// Whether to stream the response instead of buffering it. A response of unknown length is streamed early,
+// since it may arrive slowly. A small one is buffered completely, so that the request can still be retried.
 bool BackendConnection::ShouldStream() const {
   auto length = parser_->content_length();
   size_t max_buffered = pool_->MaxBufferedBytes();
@@ -360,7 +360,7 @@
   return !parser_->is_done() && body_.size() > std::min(max_buffered, kMaxPieceBytes);
 }
 
-// False if the response has no receiver any more.
+// Returns false if nobody waits for the response any more.
 bool BackendConnection::BeginStream() {
   streaming_response_ = true;
   std::string headers;
@@ -371,7 +371,7 @@
   return stream_.on_begin(std::move(headers), length ? std::optional<uint64_t>(*length) : std::nullopt);
 }
 
-// Reading stops until the client's side has taken the piece, so that at most one piece is buffered.
+// Reading pauses until the client's connection has consumed the piece, so that at most one piece is buffered.
 void BackendConnection::DeliverPiece() {
   awaiting_consumer_ = delivering_ = true;
   std::string piece = std::exchange(body_, std::string());
@@ -380,7 +380,7 @@
     if (closed_ || attempt_ != current) return;
     awaiting_consumer_ = false;
     last_read_at_ = Clock::now();
-    if (delivering_) return;  // taken within the call: the caller continues
+    if (delivering_) return;  // consumed within the call: the caller continues
     Parse();
     ContinueReading();
   });
--- a/src/net/backend_connection.h
+++ b/src/net/backend_connection.h
@@ -22,17 +22,17 @@
 /// refers to it by attempt while it is busy and by backend while it is idle, and pending I/O handlers keep it
 /// alive until they have run.
 ///
-/// Order of calls: Start, then the attempt's Done or Abort; then Start again if the connection went idle.
-/// A read is always pending while the connection is idle, so that a close or unsolicited bytes are noticed.
+/// Order of calls: Start, then the attempt's Done or Abort; then Start again if the connection went idle. A
+/// read is always pending while the connection is idle, to detect a close or unsolicited bytes.
 class BackendConnection : public std::enable_shared_from_this<BackendConnection> {
  public:
   using Done = std::function<void(AttemptEnd)>;
 
-  /// Counts as an open connection of `pool` from here until CloseSocket.
+  /// The connection counts towards the limit of `pool` from here until CloseSocket.
   BackendConnection(BackendPool* pool, uint32_t backend, const tcp::endpoint& address);
   ~BackendConnection();
 
-  /// Whether the attempt's last byte was written, so that the backend may have executed the request.
+  /// Whether the last byte of the attempt was written, so that the backend may have executed the request.
   bool may_have_run() const { return written_; }
   bool open() const { return open_; }
   /// Whether the pause between two attempts on one connection is over.
@@ -44,7 +44,7 @@
   void Start(uint64_t attempt, AttemptMessage message, AttemptLimits limits, Done done, AttemptStream stream);
   /// Ends the attempt without reporting an outcome and closes the connection.
   void Abort();
-  /// Closes the connection; no handler of it does anything afterwards. Idempotent.
+  /// Closes the connection. Its pending handlers do nothing afterwards. Idempotent.
   void CloseSocket();
   /// Leaves the pool's idle order. The caller removes the connection from its backend's idle list.
   void LeaveIdleOrder();
@@ -89,7 +89,7 @@
   const tcp::endpoint address_;
   tcp::socket socket_;
   bool open_ = false;     // connected
-  bool closed_ = false;   // for good
+  bool closed_ = false;   // never opened again
   bool reading_ = false;  // a read is pending
   boost::beast::flat_buffer buffer_{kMaxBody + kMaxHeader};
 
@@ -100,7 +100,7 @@
   // Connecting.
   OneShotTimer connect_retry_;
   Clock::duration connect_backoff_{};  // before the latest retry; doubles
-  bool local_shortage_ = false;        // the latest connect failed for lack of a resource of this machine
+  bool local_shortage_ = false;        // the latest connect failed because a local resource was exhausted
   double connect_wait_s_ = 0;          // from the start until the latest connect was issued
 
   // The attempt.
@@ -108,10 +108,10 @@
   uint64_t attempt_ = 0;
   Done done_;
   AttemptStream stream_;
-  asio::steady_timer timer_;  // of the attempt, then of being idle
+  asio::steady_timer timer_;  // limits the attempt, then the idle time
   Clock::time_point started_at_;
   Clock::time_point deadline_;
-  Clock::time_point send_deadline_;  // no request is begun after it
+  Clock::time_point send_deadline_;  // no request is started after it
 
   // Its request.
   std::string message_;  // being written
@@ -119,16 +119,16 @@
   double max_timeout_s_ = 0;
   std::function<bool()> may_send_;
   bool streamed_request_ = false;  // forwarded piece by piece
-  bool awaiting_upload_ = false;   // the next piece was asked for and has not come
-  bool written_ = false;           // the last byte is out: from here on the request may have been executed
-  double upload_s_ = 0;            // from the start until the last piece came
+  bool awaiting_upload_ = false;   // the next piece was requested and has not arrived
+  bool written_ = false;           // the last byte was sent: the request may have been executed
+  double upload_s_ = 0;            // from the start until the last piece arrived
   Clock::time_point last_write_at_;
 
   // Its response.
   std::optional<http::response_parser<http::buffer_body>> parser_;
   std::string body_;                 // not yet delivered
   bool streaming_response_ = false;  // delivered piece by piece; has begun
-  bool awaiting_consumer_ = false;   // a piece was delivered and not yet taken
+  bool awaiting_consumer_ = false;   // a piece was delivered and not yet consumed
   bool delivering_ = false;          // within the call that delivers a piece
   size_t delivered_bytes_ = 0;
   Clock::time_point last_read_at_;
--- a/src/net/backend_pool.cpp
+++ b/src/net/backend_pool.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-// Idle connections are closed after this share of the backend's own idle limit. Guards against a request that
-// is written just as the backend closes and would end as a reset.
+// Idle connections are closed after this share of the backend's own idle limit. Otherwise a request could be
+// written just as the backend closes the connection and would end in a reset.
 constexpr double kIdleTimeoutShare = 0.7;
-constexpr double kDefaultIdleS = 5;  // where the settings name no idle limit
-// Subtracted from the drain's grace: a stall of the process, and the time that a list takes from discovery to
-// here.
+constexpr double kDefaultIdleS = 5;  // if the settings name no idle limit
+// Subtracted from the grace period of a drain, for a stall of the process and the time that a list takes from
+// discovery to this process.
 constexpr double kDrainGraceMarginS = std::chrono::duration<double>(kMaxProcessStall).count() + 0.05;
 
 }  // namespace
@@ -153,7 +153,7 @@
     if (connection == nullptr && EnsureConnectionSlot())
       connection = std::make_shared<BackendConnection>(this, id, backend->address);
   }
-  if (connection == nullptr) {  // no such backend, its grace is over, or every connection is in use
+  if (connection == nullptr) {  // unknown backend, grace period over, or all connections in use
     asio::post(io_, [done = std::move(done)] {
       AttemptEnd end;
       end.result = AttemptResult::kConnectFailed;
--- a/src/net/backend_pool.h
+++ b/src/net/backend_pool.h
@@ -1,5 +1,5 @@
-// The connections to the backends and the attempts on them. Makes no decisions: sends each attempt to the
-// backend that it is given and reports one outcome for it.
+// The connections to the backends and the attempts on them. The pool makes no decisions: it sends each
+// attempt to the given backend and reports one outcome for it.
 #ifndef LEMONCHUTE_NET_BACKEND_POOL_H_
 #define LEMONCHUTE_NET_BACKEND_POOL_H_
 
@@ -19,8 +19,8 @@
 
 namespace lemonchute::net {
 
-/// Owns the connections: busy ones by attempt, idle ones by backend, the least recently used first. Must
-/// outlive every handler of `io` that its connections have queued.
+/// Owns the connections: busy ones by attempt, idle ones by backend with the least recently used first. Must
+/// outlive every handler that its connections have queued on `io`.
 ///
 /// Update, Drain, Remove and SetOffline say which backends may be used; Send and Cancel handle attempts.
 class BackendPool {
@@ -28,26 +28,26 @@
   using Done = BackendConnection::Done;
 
   /// @param idle_s the backends' own idle limit; connections are closed before it
-  /// @param drain_grace_s how long a draining backend still takes new requests
-  /// @param max_connections limit of all connections together, idle ones included
+  /// @param drain_grace_s how long a draining backend still accepts new requests
+  /// @param max_connections limit on all connections, idle ones included
   /// @param metrics not owned
   BackendPool(asio::io_context& io, double idle_s, double connect_timeout_s, double drain_grace_s,
               size_t max_connections, Metrics* metrics);
   ~BackendPool();
 
-  /// The backend is ready at `address`.
+  /// Marks the backend as ready at `address`.
   void Update(uint32_t backend, tcp::endpoint address);
-  /// The backend is draining: new attempts only within the grace.
+  /// Marks the backend as draining: it gets new attempts only within the grace period.
   void Drain(uint32_t backend);
-  /// The backend is gone: no new attempts.
+  /// Removes the backend: it gets no new attempts.
   void Remove(uint32_t backend);
-  /// An operator takes the backend out of use, or back, independently of its endpoint state.
+  /// Takes the backend out of use for an operator, or puts it back, independently of its endpoint state.
   void SetOffline(uint32_t backend, bool offline);
 
   /// Sends `message` on an idle connection or a new one. `done` runs exactly once, never within this call,
-  /// unless Cancel ends the attempt. The limits hold until a streamed response begins; from then on it only
-  /// has to make progress.
-  /// @return the attempt's number, for Cancel
+  /// unless Cancel ends the attempt. The limits apply until a streamed response begins; then it only has to
+  /// make progress.
+  /// @return the id of the attempt, for Cancel
   uint64_t Send(uint32_t backend, AttemptMessage message, AttemptLimits limits, Done done,
                 AttemptStream stream);
 
@@ -62,7 +62,7 @@
   void CloseIdle();
   void SetLimits(double idle_s, double connect_timeout_s, double drain_grace_s);
   void SetMaxConnections(size_t connections) { max_connections_ = connections; }
-  /// Limits the bytes of incomplete responses that all attempts together may buffer.
+  /// Limits the total bytes of incomplete responses that the attempts may buffer.
   void SetBufferBudget(size_t bytes) { buffer_budget_bytes_ = bytes; }
   size_t connections() const { return connections_; }
 
@@ -72,9 +72,10 @@
 
   Backend* Find(uint32_t id);
   void CloseIdleConnections(Backend* backend);
-  // A usable idle connection of the backend, taken out of its list; null if there is none.
+  // Removes a usable idle connection from the backend's list and returns it; null if there is none.
   std::shared_ptr<BackendConnection> TakeIdle(Backend* backend);
-  // Closes the least recently used idle connection if the limit is reached. False if there is none.
+  // Closes the least recently used idle connection if the limit is reached. Returns false if none can be
+  // closed.
   bool EnsureConnectionSlot();
 
   // For BackendConnection.
@@ -83,9 +84,9 @@
     return std::min(kMaxBody, buffer_budget_bytes_ / std::max<size_t>(1, in_flight_.size()));
   }
   bool IsSendAllowed(uint32_t id);
-  // As IsSendAllowed, but by the limits of the protocol itself, without the margins for a stalled process.
+  // Like IsSendAllowed, but applies the limits of the protocol without the margins for a stalled process.
   bool IsSendWithinGrace(uint32_t id, Clock::time_point now);
-  // Adds the connection to its backend's idle list. False if it can't serve another attempt.
+  // Adds the connection to its backend's idle list. Returns false if it can't serve another attempt.
   bool KeepIdle(uint32_t id, const tcp::endpoint& address, std::shared_ptr<BackendConnection> connection);
   void RemoveIdle(uint32_t id, const BackendConnection* connection);
 
@@ -93,7 +94,7 @@
   Clock::duration idle_timeout_, connect_timeout_, drain_grace_;
   size_t max_connections_, buffer_budget_bytes_ = 0;
   Metrics* metrics_;
-  std::array<char, kMaxPieceBytes> decode_buffer_;  // a parser's output, valid within one call
+  std::array<char, kMaxPieceBytes> decode_buffer_;  // output of a parser, valid within one call
   size_t connections_ = 0;                          // idle, connecting and busy
   uint64_t last_attempt_ = 0;
   std::unordered_map<uint32_t, std::unique_ptr<Backend>> backends_;
--- a/src/net/client_call.cpp
+++ b/src/net/client_call.cpp
@@ -24,8 +24,8 @@
   return combined;
 }
 
-// The client's timeout in seconds: a positive integer number of milliseconds, given once. A number too large
-// for its type counts as the longest timeout; anything else is malformed.
+// The client's timeout in seconds. The header must occur once and hold a positive integer of milliseconds. A
+// number that overflows its type counts as the longest timeout; anything else is malformed.
 std::optional<double> ParseTimeout(const ClientMessage& message) {
   constexpr const char* kName = "Request-Timeout-Ms";
   if (message.count(kName) != 1) return std::nullopt;
@@ -46,7 +46,7 @@
   return -1;
 }
 
-// The customer is the cookie `client`: up to 16 hexadecimal digits, optionally quoted.
+// The customer is given by the cookie `client`: up to 16 hexadecimal digits, optionally quoted.
 bool ParseCustomer(const ClientMessage& message, uint64_t* customer_id) {
   std::string cookies = CombinedField(message, "Cookie", "; ");
   auto customer = FindValue(cookies, ';', "client");
@@ -68,7 +68,7 @@
 
 }  // namespace
 
-// Servers must accept the absolute form http://host/path?query as well (RFC 9112, 3.2.2).
+// Servers must also accept the absolute form http://host/path?query (RFC 9112, 3.2.2).
 std::string_view OriginForm(std::string_view target) {
   constexpr std::string_view kScheme = "http://";
   if (!boost::beast::iequals({target.data(), std::min(target.size(), kScheme.size())},
--- a/src/net/client_call.h
+++ b/src/net/client_call.h
@@ -1,4 +1,4 @@
-// Validation of a client's request against the configuration: class, plan, customer, units and timeout.
+// Parsing and validation of a client's request: class, plan, customer, units and timeout.
 #ifndef LEMONCHUTE_NET_CLIENT_CALL_H_
 #define LEMONCHUTE_NET_CLIENT_CALL_H_
 
@@ -15,15 +15,15 @@
 
 /// A validated request.
 struct ClientCall {
-  int status = 0;  ///< 0 if the request is valid, else the status of the response.
+  int status = 0;  ///< 0 if the request is valid, else the status code of the response.
   policy::Request request;
   double timeout_s = 0;  ///< The client's timeout, limited by its class.
 };
 
-/// Reads the policy's part of a request from the client's message.
+/// Extracts from the client's message what the policy needs.
 ClientCall ParseCall(const ClientMessage& message, const Config& config);
 
-/// The target of a request without scheme and host.
+/// @return the target of a request without scheme and host
 std::string_view OriginForm(std::string_view target);
 
 }  // namespace lemonchute::net
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -12,19 +12,19 @@
 namespace {
 
 // Upper bound of the buffered bytes that a client pipelines behind a request: one complete further request,
-// less where memory is short. Bytes beyond it are read all the same, because the client's close behind them
-// would go unnoticed otherwise; they are discarded, and the next response ends the connection.
+// less if memory is short. Bytes beyond it are read and discarded, because otherwise a close by the client
+// behind them would go unnoticed. The next response then ends the connection.
 constexpr size_t kMaxPipelinedBytes = kMaxHeader + kMaxBody;
-constexpr size_t kMaxLingerBytes = kMaxStreamedBytes;  // read and ignored, per connection
+constexpr size_t kMaxLingerBytes = kMaxStreamedBytes;  // read and discarded, per connection
 
-// For a response, or a piece of one, to be read by the client.
+// Time for a client to read a response, or one piece of it.
 constexpr auto kWriteTimeout = std::chrono::seconds(10);
-// For the header of the first request. The protocol demands that a client that connects and sends nothing, or
-// never completes a request, is closed within 3 s.
+// Time for the header of the first request. The protocol requires that a client that connects and sends
+// nothing, or never completes a request, is closed within 3 s (PROTOCOL).
 constexpr auto kFirstHeaderTimeout = std::chrono::milliseconds(2500);
-// For the header of a later request, from its first byte; the same rule applies.
+// Time for the header of a later request, from its first byte; the same rule applies.
 constexpr auto kHeaderTimeout = kFirstHeaderTimeout;
-// For a small body to be complete, and for a large one to bring kMinUploadBytes more.
+// Time for a small body to be complete, or for the next kMinUploadBytes of a large one.
 constexpr auto kBodyTimeout = std::chrono::milliseconds(2500);
 constexpr size_t kMinUploadBytes = 16 * 1024;
 constexpr auto kUploadCheckInterval = std::chrono::milliseconds(250);
@@ -47,7 +47,7 @@
 void ClientConnection::Reply(const ClientResponse& response) {
   if (state_ == State::kStreaming) return EndStream(response.status == 200);
   if (state_ != State::kAwaitingResponse) return;
-  // Nothing will read the rest of an upload, so the response ends the connection.
+  // The rest of an upload will not be read, so the response ends the connection.
   bool keep_alive = keep_alive_ && !streaming_request_ && !server_->close_after_response_;
   Write(response, keep_alive);
 }
@@ -88,9 +88,9 @@
   FlushStream();
 }
 
-// Bytes that have arrived are a request to be served. Those that arrive after the shutdown are not: the
-// client sees the end without a response and retries elsewhere. An immediate close would answer them with a
-// reset, which also destroys a last response that the client has not read yet.
+// Bytes that have already arrived belong to a request that must be served. Bytes that arrive after the
+// shutdown don't: the client sees the end of the connection without a response and retries elsewhere. An
+// immediate close would cause a reset, which also destroys a last response that the client has not read yet.
 bool ClientConnection::CloseIfIdle(std::chrono::milliseconds linger) {
   if (!idle()) return false;
   error_code error;
@@ -100,7 +100,7 @@
   return true;
 }
 
-// The client's close may still be in the socket's buffer, also behind bytes that were not read.
+// The client's close may still be in the socket's buffer, even behind bytes that were not read.
 bool ClientConnection::IsClientConnected() {
   error_code error;
   if (PeekByte(socket_, error) == 0) return error == asio::error::would_block;
@@ -122,8 +122,8 @@
   server_->OnConnectionClosed(id_, in_flight, reason);
 }
 
-// Bytes that the client has sent are read first, or the close would reset the connection before the client
-// has read what was written to it.
+// Reads the bytes that the client has sent before closing. Otherwise the close would reset the connection
+// before the client has read what was written to it.
 void ClientConnection::Detach() {
   state_ = State::kClosed;
   timer_.Cancel();
@@ -157,13 +157,13 @@
   return buffer_.size() >= limit;
 }
 
-// The bytes of an upload are never discarded; they wait until they are asked for.
+// The bytes of an upload are never discarded; they wait until they are requested.
 bool ClientConnection::CanRead() const {
   return !IsBufferFull() || (!streaming_request_ && discarded_bytes_ < kMaxLingerBytes);
 }
 
-// Waits until bytes are there and only then prepares the buffer. Bytes may be consumed from the buffer during
-// the wait, which moves the place to which a read that was begun earlier would write.
+// Prepares the buffer only when bytes have arrived: while waiting, bytes may be consumed from the buffer,
+// which moves the position that a read started earlier would write to.
 void ClientConnection::Read() {
   if (reading_ || state_ == State::kClosed || !CanRead()) return;
   reading_ = true;
@@ -181,7 +181,7 @@
     size = RetryOnInterrupt(error, [&](error_code& failed) { return socket_.read_some(target, failed); });
   }
   if (error == asio::error::would_block) return Read();
-  // The client has left. Without a request in flight that only ends the connection.
+  // The client has disconnected. Without a request in flight this only ends the connection.
   if (error) return Close(CloseReason::kClientEnded);
   discard ? Discard(size) : OnBytes(size);
   Read();
@@ -234,8 +234,8 @@
   }
 }
 
-// Parses the buffered bytes until `max_body` bytes of the body are decoded. After an error the framing is in
-// doubt, and the connection must end.
+// Parses the buffered bytes until `max_body` bytes of the body are decoded. After an error the framing is
+// unreliable, and the connection must end.
 error_code ClientConnection::Decode(size_t max_body) {
   error_code error;
   auto& decoded = server_->decode_buffer_;
@@ -249,7 +249,7 @@
     if (parser_->is_header_done()) body_.append(decoded.data(), capacity - piece.size);
     if (error == http::error::need_buffer) error = {};
     if (error == http::error::need_more) {
-      // The parser leaves an incomplete header in the buffer and checks its limit only when it is complete.
+      // The parser keeps an incomplete header in the buffer and checks its size only when it is complete.
       return buffer_.size() > kMaxHeader ? make_error_code(http::error::header_limit) : error_code();
     }
     if (!error && !had_header && parser_->is_header_done() && !HasUnambiguousFraming(parser_->get())) {
@@ -268,7 +268,7 @@
   }
   continue_sent_ = true;
   static const std::string kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
-  error_code ignored;  // the pending read reports it
+  error_code ignored;  // reported by the pending read
   size_t sent = SendAvailable(socket_, kContinue, ignored);
   if (sent > 0) unsent_interim_ = kContinue.substr(sent);
 }
@@ -300,9 +300,9 @@
   });
 }
 
-// Passes the next piece of an upload to whoever has asked for it. At most one piece is decoded ahead.
+// Passes the next piece of an upload to the callback that requested it. At most one piece is decoded ahead.
 void ClientConnection::DeliverUpload() {
-  // A framing error cannot be answered once a part of the request was forwarded.
+  // There is no response to a framing error once a part of the request was forwarded.
   if (Decode(kMaxPieceBytes)) return Close(CloseReason::kBrokenBody);
   if (!on_piece_ || (body_.empty() && !parser_->is_done())) return;
   bool last = parser_->is_done();
@@ -314,8 +314,8 @@
   std::exchange(on_piece_, nullptr)(std::move(piece), last);
 }
 
-// While pieces are asked for, an upload must keep a minimum rate and must not stop. While the backend takes
-// none it may pause.
+// While pieces are requested, an upload must keep a minimum rate and must not stop. While the backend accepts
+// none, it may pause.
 void ClientConnection::StartUploadWindow() {
   window_bytes_ = 0;
   window_end_ = Clock::now() + kBodyTimeout;
@@ -357,14 +357,14 @@
   if (!keep_alive || discarded_bytes_ > 0) return Linger();
   AwaitRequest();
   if (buffer_.size() == 0) return Read();
-  // Pipelined bytes are the next request. Posted, since the caller may be executing the policy's actions.
+  // Pipelined bytes are the next request. Posted, since the caller may be executing actions of the policy.
   asio::post(server_->io_, [self = shared_from_this(), this] {
     if (state_ == State::kReading) Parse();
     Read();
   });
 }
 
-// Writes the pending part of a stream. At most one piece waits, since the next one comes after on_taken_.
+// Writes the pending part of a stream. At most one piece waits, since the next one follows on_consumed_.
 void ClientConnection::FlushStream() {
   if (stream_write_pending_ || state_ == State::kClosed) return;
   if (pending_.empty()) {
@@ -399,14 +399,14 @@
   pending_ = std::string();
   // The server may have begun to close connections since the stream began.
   if (stream_complete_) return OnResponseSent(keep_alive_ && !server_->close_after_response_);
-  // The client notices the missing length or last chunk. Where the body ends with the connection only a reset
-  // shows that it was cut short.
+  // The client detects the missing bytes or the missing last chunk. If the body is delimited by the end of
+  // the connection, only a reset shows that it was cut off.
   error_code ignored;
   if (close_delimited_) socket_.set_option(tcp::socket::linger(true, 0), ignored);
   asio::post(server_->io_, [self = shared_from_this(), this] { Close(CloseReason::kCutShort); });
 }
 
-// Guards against a client that does not read its response.
+// Closes the connection of a client that does not read its response.
 void ClientConnection::StartWriteTimer() {
   if (state_ != State::kWriting && state_ != State::kStreaming) return;
   timer_.Start(kWriteTimeout, [self = shared_from_this(), this] {
@@ -414,8 +414,8 @@
   });
 }
 
-// Lets the last response reach a client that is still sending: a close with unread bytes would reset the
-// connection before the client has read it.
+// Shuts the connection down for writing and keeps reading, so that the last response reaches a client that is
+// still sending: a close with unread bytes would reset the connection before the client has read it.
 void ClientConnection::Linger(std::chrono::milliseconds timeout, CloseReason reason) {
   state_ = State::kLingering;
   ++server_->lingering_connections_;
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -1,5 +1,5 @@
-// One HTTP/1.1 connection of a client: parsing of its requests, flow control of uploads and streamed
-// responses, timeouts, and how it is closed.
+// One HTTP/1.1 connection of a client: request parsing, flow control of uploads and streamed responses,
+// timeouts and closing.
 #ifndef LEMONCHUTE_NET_CLIENT_CONNECTION_H_
 #define LEMONCHUTE_NET_CLIENT_CONNECTION_H_
 
@@ -25,21 +25,21 @@
 
 /// A request whose body is too large to be buffered and is forwarded piece by piece.
 struct Upload {
-  std::optional<uint64_t> length;  ///< Of the whole body, in bytes; none: it is chunked.
+  std::optional<uint64_t> length;  ///< Length of the whole body in bytes; none if it is chunked.
 };
 
 /// Called with the next piece of an upload.
 using OnPiece = std::function<void(std::string piece, bool last)>;
 
-/// How long a connection that was shut down for writing waits for its client to close as well.
+/// How long a connection that was shut down for writing waits for its client to close it as well.
 inline constexpr auto kLingerTimeout = std::chrono::milliseconds(1000);
-/// The same for an idle connection that is evicted because the limit of connections is reached.
+/// The same for an idle connection that is evicted because the connection limit is reached.
 inline constexpr auto kEvictionLinger = std::chrono::milliseconds(100);
 
 /// A connection that serves one request at a time. Owned by ClientServer, which outlives it; pending I/O
 /// handlers keep it alive until they have run and do nothing once it is closed.
 ///
-/// Order of calls: Start; then for each request that is passed to the server's OnRequest either Reply, or
+/// Order of calls: Start; then, for each request that is passed to the server's OnRequest, either Reply, or
 /// BeginStream, SendPiece for each piece and Reply. Pull may be called at any time before the end of an
 /// upload. The connection reports its end once, through the server's OnClosed.
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
@@ -50,11 +50,11 @@
   bool idle() const { return state_ == State::kReading && !request_begun_ && buffer_.size() == 0; }
 
   void Start();
-  /// Sends the response, or ends a streamed one: complete with status 200, otherwise cut short.
+  /// Sends the response. A streamed response is completed if the status is 200 and cut off otherwise.
   void Reply(const ClientResponse& response);
-  /// Asks for the next piece of the upload.
+  /// Requests the next piece of the upload.
   void Pull(OnPiece on_piece);
-  /// Begins a streamed response; chunked if its length in bytes is not known.
+  /// Begins a streamed response, which is chunked if `length` is not known.
   void BeginStream(const std::string& headers, std::optional<uint64_t> length);
   /// Sends a piece of the streamed response and calls `on_consumed` when the next one may follow.
   void SendPiece(const std::string& piece, std::function<void()> on_consumed);
@@ -63,11 +63,11 @@
   /// @param linger how long to wait for the client to close as well
   /// @return whether the connection is being closed
   bool CloseIfIdle(std::chrono::milliseconds linger);
-  /// Whether the client has not closed its end, neither read here nor still in the socket's buffer.
+  /// Whether the client is still connected. Also detects a close that is still unread in the socket's buffer.
   bool IsClientConnected();
   /// Closes the socket and reports the end of the connection. Idempotent.
   void Close(CloseReason reason);
-  /// Closes the socket at the end of the process, without reporting it.
+  /// Closes the socket at the end of the process without reporting it.
   void Detach();
 
  private:
@@ -116,7 +116,7 @@
   ClientServer* server_;
   const uint64_t id_;
   tcp::socket socket_;
-  OneShotTimer timer_;  // of a request being read, then of a response being written, then of lingering
+  OneShotTimer timer_;  // limits reading a request, then writing a response, then lingering
   State state_ = State::kReading;
   bool keep_alive_ = true;
   std::optional<std::list<uint64_t>::iterator> idle_position_;  // in the server's idle order
@@ -124,33 +124,33 @@
   // The request.
   boost::beast::flat_buffer buffer_;
   std::optional<http::request_parser<http::buffer_body>> parser_;
-  std::string body_;  // not yet passed on
+  std::string body_;  // decoded, not yet passed on
   unsigned version_ = 11;
   bool reading_ = false;             // a wait for bytes is pending
-  bool request_begun_ = false;       // its first byte has come
+  bool request_begun_ = false;       // its first byte has arrived
   bool read_timer_running_ = false;  // for its header or body
   bool body_timer_started_ = false;
   bool continue_sent_ = false;
-  size_t discarded_bytes_ = 0;  // pipelined beyond the buffer: the next response is the connection's last
+  size_t discarded_bytes_ = 0;  // pipelined beyond the buffer; if any, the next response is the last
   size_t lingered_bytes_ = 0;   // read and ignored while lingering
 
   // Its upload.
   bool streaming_request_ = false;
-  OnPiece on_piece_;                     // set while a piece is asked for
+  OnPiece on_piece_;                     // set while a piece is requested
   size_t window_bytes_ = 0;              // received since the rate was last checked
   Clock::time_point window_end_;         // when the rate is checked next
-  bool pulled_at_window_start_ = false;  // a piece was asked for when the window began
-  Clock::time_point last_progress_at_;   // when a piece was asked for, or its latest bytes came
+  bool pulled_at_window_start_ = false;  // a piece was already requested when the window began
+  Clock::time_point last_progress_at_;   // when a piece was requested, or its latest bytes arrived
 
   // The response.
   std::string writing_;         // referred to by the pending write
-  std::string pending_;         // of a stream, to be written next
-  std::string unsent_interim_;  // rest of an interim response, to be written before the next one
+  std::string pending_;         // part of a stream to be written next
+  std::string unsent_interim_;  // rest of a 100 Continue response, written before the next response
   std::function<void()> on_consumed_;
   bool chunked_ = false;
-  bool close_delimited_ = false;  // the body ends with the connection
+  bool close_delimited_ = false;  // the end of the connection marks the end of the body
   bool stream_ended_ = false;     // the last piece was added
-  bool stream_complete_ = false;  // false: to be cut short
+  bool stream_complete_ = false;  // false: to be cut off
   bool stream_write_pending_ = false;
 };
 
--- a/src/net/client_server.cpp
+++ b/src/net/client_server.cpp
@@ -7,7 +7,7 @@
 namespace lemonchute::net {
 namespace {
 
-// At the limit of connections one of so many is evicted, if it is idle.
+// At the connection limit, one in this many connections is evicted if it is idle.
 constexpr size_t kEvictionDivisor = 8;
 
 }  // namespace
@@ -44,8 +44,9 @@
   Accept();
 }
 
-// Closes the connections that have been idle longest. Their places become free when their clients have closed
-// as well or have had the time to, so several are evicted at once, and none while evictions are pending.
+// Closes the connections that have been idle longest. A slot becomes free only when the client has closed its
+// side or the linger timeout has passed, so several are evicted at once, and none while evictions are
+// pending.
 void ClientServer::EvictIdle() {
   std::vector<uint64_t> oldest(idle_order_.begin(), idle_order_.end());
   size_t wanted = lingering_connections_ > 0 ? 0 : 1 + max_connections_ / kEvictionDivisor;
--- a/src/net/client_server.h
+++ b/src/net/client_server.h
@@ -1,4 +1,4 @@
-// The side towards the clients: accepts their connections, limits their number and finds the connection of a
+// The client side of the gateway: accepts connections, limits their number and looks up the connection of a
 // request.
 #ifndef LEMONCHUTE_NET_CLIENT_SERVER_H_
 #define LEMONCHUTE_NET_CLIENT_SERVER_H_
@@ -19,17 +19,17 @@
 
 namespace lemonchute::net {
 
-/// Owns the clients' connections, by id. Calls for a connection that has ended do nothing.
+/// Owns the connections of clients, by id. Calls for a connection that has ended do nothing.
 ///
 /// Order of calls: Listen or Adopt, then Accept. For each request either Reply, or BeginStream, SendPiece for
-/// each piece and Reply; Pull asks for the pieces of an upload meanwhile.
+/// each piece and Reply. Pull requests the pieces of an upload before or in between.
 class ClientServer {
  public:
-  /// Receives a request, to be answered by one Reply, within this call or later. With an Upload its body has
-  /// only begun, and the rest is to be pulled.
+  /// Receives a request, which must get one Reply, within this call or later. With an Upload the message
+  /// holds only the beginning of the body, and the rest has to be requested with Pull.
   using OnRequest = std::function<void(uint64_t connection, ClientMessage, std::optional<Upload>)>;
   using OnPiece = lemonchute::net::OnPiece;
-  /// A connection has ended; `in_flight`: with a request on it that was not answered.
+  /// A connection has ended. `in_flight`: a request on it had no response yet.
   using OnClosed = std::function<void(uint64_t connection, bool in_flight, CloseReason reason)>;
 
   ClientServer(asio::io_context& io, size_t max_connections, OnRequest on_request, OnClosed on_closed);
@@ -38,35 +38,35 @@
   /// @throws boost::system::system_error if the address can't be listened on
   void Listen(const tcp::endpoint& address) { listener_.Listen(address, kBacklog); }
   /// Takes over a listening socket that other processes may share.
-  /// @return false if the descriptor is no listening socket
+  /// @return false if the descriptor is not a listening socket
   bool Adopt(int descriptor) { return listener_.Adopt(descriptor); }
   /// Starts accepting connections.
   void Accept();
-  /// Stops accepting. Connections in the queue of a shared socket are left to the other processes.
+  /// Stops accepting. Connections that wait on a shared socket are left to the other processes.
   void StopAccepting() { listener_.Release(); }
   void SetMaxConnections(size_t connections);
-  /// Limits the bytes of request bodies that all connections together may buffer.
+  /// Limits the total bytes of request bodies that the connections may buffer.
   void SetBufferBudget(size_t bytes) { buffer_budget_bytes_ = bytes; }
   tcp::endpoint local() const { return listener_.local(); }
 
-  /// Sends the final response. Ends a streamed response: complete with status 200, otherwise cut short.
+  /// Sends the final response. A streamed response is completed if the status is 200 and cut off otherwise.
   void Reply(uint64_t connection, ClientResponse response);
-  /// Asks for the next piece of an upload. `on_piece` is not called if the connection ends before.
+  /// Requests the next piece of an upload. `on_piece` is not called if the connection ends first.
   void Pull(uint64_t connection, OnPiece on_piece);
   /// Begins a streamed response; `length` in bytes, if known.
   void BeginStream(uint64_t connection, const std::string& headers, std::optional<uint64_t> length);
   /// Sends a piece of the streamed response; the next one may follow once `on_consumed` was called.
   void SendPiece(uint64_t connection, const std::string& piece, std::function<void()> on_consumed);
-  /// Whether the client has not closed its end, neither read here nor still in the socket's buffer.
+  /// Whether the client is still connected. Also detects a close that is still unread in the socket's buffer.
   bool IsClientConnected(uint64_t connection) const;
-  /// Closes a connection whose client is not present any more.
+  /// Closes a connection whose client has disconnected.
   void CloseDisconnected(uint64_t connection);
 
-  /// While true each response ends its connection.
+  /// While true, each connection is closed after its current response.
   void SetCloseAfterResponse(bool ask) { close_after_response_ = ask; }
   /// Closes the connections on which no request has begun.
   void CloseIdle();
-  /// Whether no connection is open and none waits to be accepted.
+  /// Whether no connection is open and none is waiting to be accepted.
   bool HasNoConnections() { return connections_.empty() && !listener_.HasPendingConnection(); }
 
  private:
@@ -93,7 +93,7 @@
   bool accept_paused_ = false;  // the limit of connections is reached
   std::unordered_map<uint64_t, std::shared_ptr<ClientConnection>> connections_;
   std::list<uint64_t> idle_order_;                  // longest idle first
-  std::array<char, kMaxPieceBytes> decode_buffer_;  // a parser's output, valid within one call
+  std::array<char, kMaxPieceBytes> decode_buffer_;  // output of a parser, valid within one call
 };
 
 }  // namespace lemonchute::net
--- a/src/net/clock.cpp
+++ b/src/net/clock.cpp
@@ -9,7 +9,7 @@
 using std::chrono::steady_clock;
 using std::chrono::system_clock;
 
-// A smaller difference is a gradual adjustment of the wall clock and no step.
+// A smaller difference is a gradual adjustment of the wall clock, not a step.
 constexpr double kMinClockStepS = 0.5;
 // A reading of the wall clock that takes longer than this is repeated.
 constexpr auto kMaxClockReading = std::chrono::milliseconds(100);
@@ -26,7 +26,8 @@
 
 double GatewayClock::NowS() const { return epoch_s_ + SecondsSinceZero<steady_clock>(); }
 
-// Read between two readings of the monotonic clock, since the process may be suspended in between.
+// Reads the wall clock between two readings of the monotonic clock, because the process may be suspended
+// while it reads, which would look like a step.
 double GatewayClock::WallS() const {
   for (;;) {
     auto before = steady_clock::now();
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -1,4 +1,4 @@
-// The two clocks of a gateway process: a monotonic one for every decision, and the wall clock, which may be
+// The two clocks of a gateway process: a monotonic clock for all decisions, and the wall clock, which may be
 // stepped at any time.
 #ifndef LEMONCHUTE_NET_CLOCK_H_
 #define LEMONCHUTE_NET_CLOCK_H_
@@ -12,21 +12,20 @@
  public:
   GatewayClock();
 
-  /// @return the monotonic time in seconds. Its zero is the epoch as the wall clock had it when this object
-  ///     was created.
+  /// @return the monotonic time in seconds since the epoch, as the wall clock had it when this object was
+  ///     created
   double NowS() const;
 
-  /// @return the wall clock's time, in seconds since the epoch.
+  /// @return the time of the wall clock, in seconds since the epoch
   double WallS() const;
 
-  /// Compares the clocks.
-  /// @return by how many seconds the wall clock is ahead of NowS() now, if it was stepped since the last step
-  ///     that was returned; none otherwise.
+  /// Detects whether the wall clock was stepped since the last step that was returned.
+  /// @return by how many seconds the wall clock is now ahead of NowS(); none if it was not stepped
   std::optional<double> DetectWallClockStep();
 
  private:
-  const double epoch_s_;      // the wall clock at the monotonic clock's zero, as it was at the start
-  double wall_offset_s_ = 0;  // of the wall clock from NowS(), after the last step
+  const double epoch_s_;      // wall clock time at the zero of the monotonic clock, as of the start
+  double wall_offset_s_ = 0;  // offset of the wall clock from NowS() after the last step
 };
 
 }  // namespace lemonchute::net
--- a/src/net/descriptor.h
+++ b/src/net/descriptor.h
@@ -1,4 +1,4 @@
-// A file descriptor that is closed with its owner.
+// An owned file descriptor.
 #ifndef LEMONCHUTE_NET_DESCRIPTOR_H_
 #define LEMONCHUTE_NET_DESCRIPTOR_H_
 
@@ -6,6 +6,7 @@
 
 namespace lemonchute::net {
 
+/// Closes its file descriptor on destruction.
 class Descriptor {
  public:
   explicit Descriptor(int fd) : fd_(fd) {}
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -65,7 +65,7 @@
   return admin_server_ ? std::optional(admin_server_->local()) : std::nullopt;
 }
 
-// The policy starts with the endpoint list that was cached, if there is one.
+// Starts the policy with the cached endpoint list, if there is one.
 void Gateway::StartPolicy(const Config& config) {
   BackendList cached = ParseCachedList(config);
   if (cached.full) discovery_.Resume(cached.index);
@@ -117,7 +117,7 @@
   process_.endpoint_list_known = true;
 }
 
-// The gateway serves by the list as last known.
+// The gateway continues with the last known endpoint list.
 void Gateway::OnDiscoveryFailed() {
   endpoints_.OnDiscoveryFailed();
   process_.endpoint_list_known = true;
--- a/src/net/gateway.h
+++ b/src/net/gateway.h
@@ -1,4 +1,4 @@
-// One gateway: joins the sockets of clients, backends, discovery, the counter and operators with the policy.
+// One gateway: connects the sockets of clients, backends, discovery, the counter and operators to the policy.
 #ifndef LEMONCHUTE_NET_GATEWAY_H_
 #define LEMONCHUTE_NET_GATEWAY_H_
 
@@ -28,24 +28,25 @@
 
 namespace lemonchute::net {
 
-/// Owns the parts and connects them: each event goes to the part that handles it, each action of the policy
-/// to the part that executes it. Runs on one thread, the event loop's.
+/// Owns the components of a gateway and routes between them: each event goes to the component that handles
+/// it, each action of the policy to the component that executes it. Runs on the event loop's thread only.
 class Gateway {
  public:
-  /// Starts the gateway. Throws policy::ProtocolError on a setting that is unreadable, and
-  /// boost::system::system_error where an address can't be had.
-  /// @param keeper manages the running configuration; outlives the gateway.
+  /// Starts the gateway.
+  /// @param config_manager manages the running configuration; not owned, must outlive the gateway
+  /// @throws policy::ProtocolError if a setting is invalid
+  /// @throws boost::system::system_error if an address can't be listened on
   Gateway(asio::io_context& io, const Config& config, ConfigurationManager* config_manager);
   ~Gateway();
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
 
-  /// @return where clients connect.
+  /// @return the address that clients connect to
   tcp::endpoint local() const { return server_.local(); }
-  /// @return where operators connect; none where the configuration names no admin endpoint.
+  /// @return the address of the admin endpoint; none if the configuration names none
   std::optional<tcp::endpoint> admin_local() const;
 
-  /// Drains, and stops the io_context once no request is in flight or the time for that is over.
+  /// Drains the gateway, then stops the io_context once no request is in flight or the time for it is over.
   void Shutdown() { lifecycle_.Shutdown(); }
 
  private:
@@ -58,8 +59,9 @@
   void OnDiscoveryFailed();
   Gauges ReadGauges();
 
-  // A part may refer to those above it. Callbacks that refer to parts below run only from the event loop or
-  // the constructor's body, when all parts exist. No destructor of a part runs a callback.
+  // The order matters: a component may refer to those declared above it. Callbacks that refer to components
+  // below run only from the event loop or the constructor's body, when all components exist. No destructor of
+  // a component runs a callback.
   std::shared_ptr<const Config> config_;
   GatewayClock clock_;
   BackendIds ids_;
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -1,4 +1,4 @@
-// Shared by all HTTP connections of the gateway: size limits, header copying and parser setup.
+// Helpers for all HTTP connections of the gateway: size limits, header copying and parser setup.
 #ifndef LEMONCHUTE_NET_HTTP_H_
 #define LEMONCHUTE_NET_HTTP_H_
 
@@ -15,11 +15,11 @@
 
 namespace http = boost::beast::http;
 
-inline constexpr size_t kMaxBody = 64 * 1024;        ///< Bytes of a body that is buffered.
-inline constexpr size_t kMaxHeader = 16 * 1024;      ///< Bytes of a message's header.
-inline constexpr size_t kReadChunk = 4096;           ///< Bytes of one read.
-inline constexpr size_t kMaxPieceBytes = 16 * 1024;  ///< Bytes of a piece of a streamed body, at most.
-inline constexpr uint64_t kMaxStreamedBytes = uint64_t{48} << 20;  ///< Bytes of a streamed body.
+inline constexpr size_t kMaxBody = 64 * 1024;        ///< Maximum size of a buffered body.
+inline constexpr size_t kMaxHeader = 16 * 1024;      ///< Maximum size of a message's header.
+inline constexpr size_t kReadChunk = 4096;           ///< Buffer size of one read.
+inline constexpr size_t kMaxPieceBytes = 16 * 1024;  ///< Maximum size of one piece of a streamed body.
+inline constexpr uint64_t kMaxStreamedBytes = uint64_t{48} << 20;  ///< Maximum size of a streamed body.
 
 inline std::string_view ToStringView(boost::beast::string_view text) { return {text.data(), text.size()}; }
 
@@ -54,9 +54,9 @@
   }
 }
 
-/// Whether the framing of a message's body is unambiguous: by its length, or chunked without a further
-/// coding. A coding that is ignored here might be applied by the next hop, which would see another end (RFC
-/// 9112, 6.1).
+/// Whether the framing of a message's body is unambiguous: a length, or chunked without a further coding. A
+/// coding that is ignored here might be applied by the next hop, which would then see a different end of the
+/// body (RFC 9112, 6.1).
 template <typename Message>
 bool HasUnambiguousFraming(const Message& message) {
   size_t codings = message.count(http::field::transfer_encoding);
@@ -65,8 +65,9 @@
          boost::beast::iequals(message[http::field::transfer_encoding], "chunked");
 }
 
-/// Replaces the parser by one for the next message, with its size limits. Not eager: an eager parser
-/// continues into the body in the same call and thereby loses the error for a Content-Length above the limit.
+/// Replaces the parser with one for the next message and sets its size limits. The parser is not eager: an
+/// eager parser continues into the body in the same call and thereby loses the error for a Content-Length
+/// above the limit.
 template <typename Parser>
 void ResetParser(std::optional<Parser>* parser, uint64_t max_body) {
   parser->emplace();
--- a/src/net/in_flight_request.cpp
+++ b/src/net/in_flight_request.cpp
@@ -6,7 +6,7 @@
 namespace lemonchute::net {
 namespace {
 
-// The response is decided before the client's timeout by the smaller of these two.
+// The response is decided this long before the client's timeout; the smaller of the two values applies.
 constexpr double kResponseMarginS = 0.01;
 constexpr double kResponseMarginShare = 0.1;  // of the client's timeout
 constexpr double kMinUploadBytesPerS = 64 * 1024;
@@ -33,7 +33,7 @@
   limits.timeout_s = client_timeout_s;
   limits.margin_s = std::min(kResponseMarginS, kResponseMarginShare * client_timeout_s);
   if (upload) {
-    // The client's time counts from its last byte. Until then the limit of the upload holds.
+    // The client's timeout counts from the last byte of the request. The upload before it has its own limit.
     uint64_t missing_bytes = upload->length ? *upload->length - message.body().size() : kMaxStreamedBytes;
     limits.timeout_s =
         std::min(kMaxTimeoutS, client_timeout_s + static_cast<double>(missing_bytes) / kMinUploadBytesPerS);
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -13,15 +13,15 @@
 namespace lemonchute::net {
 namespace {
 
-// After a shortage of descriptors or memory accept is retried with an exponential backoff, which keeps the
-// loop from spinning. Short, because requests with little time left are waiting.
+// After a shortage of descriptors or memory, accept is retried with an exponential backoff to keep the event
+// loop from spinning. The backoff is short, because requests with little time left are waiting.
 constexpr auto kMinAcceptBackoff = std::chrono::milliseconds(2);
 constexpr auto kMaxAcceptBackoff = std::chrono::milliseconds(10);
-// Consecutive connections that may fail on their own account before accept backs off as well.
+// How many consecutive connections may fail individually before accept backs off as well.
 constexpr int kMaxConsecutiveFailures = 16;
 
-// Whether accept has failed because of the connection that it took from the queue; the next one may be sound
-// (accept(2): errors already pending on the new socket).
+// Whether accept failed because of the connection that it took from the queue, so that the next one may
+// succeed (accept(2): errors already pending on the new socket).
 bool IsConnectionError(int error) {
   switch (error) {
     case ECONNABORTED:
@@ -40,24 +40,24 @@
   }
 }
 
-// Without this option asio mistakes an aborted connection for an empty queue, and those behind it are
-// accepted only when a further connection arrives.
+// Without this option asio treats an aborted connection like an empty queue, and the connections behind it
+// are accepted only when a further connection arrives.
 void ReportAborted(tcp::acceptor& acceptor) {
   acceptor.set_option(asio::socket_base::enable_connection_aborted(true));
 }
 
 // How long and how often Listen retries. A new process has to be ready within 10 s in nine of ten cases and
-// within 30 s in any; its predecessor may still hold the address for some seconds.
+// within 30 s in all cases; its predecessor may still use the address for some seconds.
 constexpr auto kListenTimeout = std::chrono::seconds(10);
 constexpr auto kListenRetryInterval = std::chrono::milliseconds(50);
 
-// A resource that this machine lacks, or an address that another process still holds.
+// Whether a local resource is exhausted, or another process still uses the address.
 bool IsTransient(int error) { return IsResourceShortage(error) || error == EADDRINUSE; }
 
 void TryListen(tcp::acceptor& acceptor, const tcp::endpoint& address, int backlog) {
   acceptor.open(address.protocol());
   ReportAborted(acceptor);
-  acceptor.set_option(tcp::acceptor::reuse_address(true));  // restarted on the same address
+  acceptor.set_option(tcp::acceptor::reuse_address(true));  // for a restart on the same address
   acceptor.bind(address);
   acceptor.listen(backlog);
 }
@@ -76,7 +76,7 @@
       error_code ignored;
       acceptor_.close(ignored);
       if (!IsTransient(failed.code().value()) || std::chrono::steady_clock::now() >= deadline) throw;
-      if (!reported) std::fprintf(stderr, "cannot listen yet: %s\n", failed.what());
+      if (!reported) std::fprintf(stderr, "cannot listen yet, retrying: %s\n", failed.what());
       reported = true;
     }
     std::this_thread::sleep_for(kListenRetryInterval);
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,4 +1,4 @@
-// A listening socket and how connections are accepted from it.
+// A listening socket from which connections are accepted.
 #ifndef LEMONCHUTE_NET_LISTENER_H_
 #define LEMONCHUTE_NET_LISTENER_H_
 
@@ -9,8 +9,8 @@
 
 namespace lemonchute::net {
 
-/// Accepts connections and continues after failures, which it tells apart: those of a single connection and
-/// those for lack of a resource of this machine. Must outlive every handler of `io` that it has queued.
+/// Accepts connections and continues after failures. It distinguishes failures of a single connection from
+/// local resource shortages. Must outlive every handler that it has queued on `io`.
 ///
 /// Order of calls: Listen or Adopt, then Accept once for each connection.
 class Listener {
@@ -19,19 +19,20 @@
 
   explicit Listener(asio::io_context& io) : acceptor_(io), retry_timer_(io) {}
 
-  /// Blocks and retries for some seconds if the address is in use or the machine lacks a resource.
+  /// Blocks and retries for some seconds if the address is in use or a local resource is exhausted.
   /// @throws boost::system::system_error
   void Listen(const tcp::endpoint& address, int backlog);
   /// Takes over a listening socket that other processes may share.
-  /// @return false if the descriptor is no listening socket
+  /// @return false if the descriptor is not a listening socket
   bool Adopt(int descriptor);
-  /// Leaves the socket, and the connections in its queue, to the other processes that share it.
+  /// Closes this process's descriptor and leaves the socket, with the connections in its queue, to the other
+  /// processes that share it.
   void Release();
-  /// Passes the next connection to `on_connection`, once.
+  /// Passes the next connection to `on_connection`, which is called once.
   void Accept(OnConnection on_connection);
 
   bool is_open() const { return acceptor_.is_open(); }
-  /// Whether a connection waits to be accepted.
+  /// Whether a connection is waiting to be accepted.
   bool HasPendingConnection();
   tcp::endpoint local() const { return local_; }
 
--- a/src/net/one_shot_timer.h
+++ b/src/net/one_shot_timer.h
@@ -1,4 +1,4 @@
-// A timer that can be cancelled reliably.
+// A timer whose cancellation is reliable.
 #ifndef LEMONCHUTE_NET_ONE_SHOT_TIMER_H_
 #define LEMONCHUTE_NET_ONE_SHOT_TIMER_H_
 
@@ -8,14 +8,14 @@
 
 namespace lemonchute::net {
 
-/// A timer whose handler never runs after Cancel() or after it was started again. asio's own timer gives no
-/// such guarantee: once it is due its handler is queued, and a cancellation in the same turn of the event
-/// loop comes too late.
+/// A timer whose handler never runs after Cancel() or after the timer was restarted. asio's own timer gives
+/// no such guarantee: once it has expired its handler is queued, and a cancellation in the same iteration of
+/// the event loop comes too late.
 class OneShotTimer {
  public:
   explicit OneShotTimer(boost::asio::io_context& io) : timer_(io) {}
 
-  /// Calls handler() once, `after` from now; a start before is cancelled.
+  /// Calls handler() once, after `delay`. An earlier start is cancelled.
   template <typename Handler>
   void Start(boost::asio::steady_timer::duration delay, Handler handler) {
     timer_.expires_after(delay);
--- a/src/net/policy_dispatcher.h
+++ b/src/net/policy_dispatcher.h
@@ -1,4 +1,4 @@
-// The only caller of the policy: passes events to it and has its actions executed.
+// The only caller of the policy: passes events to it and executes the actions that it returns.
 #ifndef LEMONCHUTE_NET_POLICY_DISPATCHER_H_
 #define LEMONCHUTE_NET_POLICY_DISPATCHER_H_
 
@@ -17,21 +17,20 @@
  public:
   using Execute = std::function<void(policy::Action& action)>;
 
-  /// @param clock the time that the policy is given; outlives this object.
-  /// @param execute executes one action. Must not call Dispatch(): whatever an action brings about comes as
-  /// an
-  ///     event of its own.
+  /// @param clock the clock whose time is passed to the policy; must outlive this object
+  /// @param execute executes one action. Must not call Dispatch(): a consequence of an action has to be
+  ///     dispatched as a separate event.
   PolicyDispatcher(const GatewayClock& clock, Execute execute)
       : clock_(clock), execute_(std::move(execute)) {}
 
-  /// Creates the policy. Actions of its start are executed with those of the first event.
+  /// Creates the policy. The actions of its start are executed with those of the first event.
   void Start(const policy::Settings& settings, uint64_t seed) {
     balancer_.emplace(settings, seed, clock_.NowS(), &actions_);
   }
 
-  /// Calls the policy with one event, then executes its actions. These run after the policy's call has
-  /// returned, which guards it against re-entry.
-  /// @param event called as event(balancer, now_s, &actions).
+  /// Passes one event to the policy, then executes the resulting actions. They run after the call of the
+  /// policy has returned, so that it is never re-entered.
+  /// @param event called as event(balancer, now_s, &actions)
   template <typename Event>
   void Dispatch(Event event) {
     event(*balancer_, clock_.NowS(), &actions_);
@@ -41,7 +40,7 @@
   }
 
   const policy::Balancer& balancer() const { return *balancer_; }
-  /// @return the number of backends that get no new requests now.
+  /// @return the number of backends that currently get no new requests
   int UnavailableBackends() { return balancer_->UnavailableBackends(clock_.NowS()); }
 
  private:
--- a/src/net/reasons.h
+++ b/src/net/reasons.h
@@ -1,4 +1,4 @@
-// Why connections, attempts and requests ended: their names in the metrics and the log, and their counts.
+// The reasons for which connections, attempts and requests end: names in the metrics and the log, and counts.
 // docs/ON-CALL.md explains the names.
 #ifndef LEMONCHUTE_NET_REASONS_H_
 #define LEMONCHUTE_NET_REASONS_H_
@@ -14,15 +14,15 @@
 
 /// Why a client's connection was closed.
 enum class CloseReason {
-  kClientEnded,   // by its client or by the network
-  kNeverAsked,    // no first request within its time limit
-  kSlowHead,      // the head of a request was not complete within its time limit
-  kSlowBody,      // the same for the body
+  kClientEnded,   // closed by the client or by a network failure
+  kNeverAsked,    // no first request within the time limit
+  kSlowHead,      // the header of a request was not complete within the time limit
+  kSlowBody,      // the body of a request was too slow
   kBrokenBody,    // the framing of a streamed body was invalid
-  kSlowReader,    // its client did not read a response
+  kSlowReader,    // the client did not read a response
   kAnsweredLast,  // after a response that ends the connection
   kCutShort,      // a response could not be completed
-  kDrained,       // idle while the gateway drains, or closed in favour of a new connection
+  kDrained,       // idle while the gateway drained, or evicted in favour of a new connection
   kCount,
 };
 
@@ -72,7 +72,7 @@
   return "unknown";
 }
 
-/// Counts how often each value of an enumeration occurred.
+/// Counts how often each value of an enumeration occurs.
 template <typename Enum, Enum kLast>
 class CountsBy {
  public:
--- a/src/net/request_lifecycle.cpp
+++ b/src/net/request_lifecycle.cpp
@@ -14,11 +14,11 @@
 
 constexpr int kStatusOk = 200, kStatusNotFound = 404, kStatusTooManyRequests = 429, kStatusBadGateway = 502,
               kStatusUnavailable = 503, kStatusGatewayTimeout = 504;
-// After the client's deadline: a response that is later than this counts as a violation.
+// A response that is decided later than this after the client's deadline is an invariant violation.
 constexpr double kResponseGraceS = 0.5;
 constexpr size_t kTimeoutHeaderBytes = 48;
 
-// Whether a request was cut off by its client rather than by the gateway.
+// Whether the close was caused by the client rather than by the gateway.
 bool ClosedByClient(CloseReason reason) {
   return reason == CloseReason::kClientEnded || reason == CloseReason::kSlowBody ||
          reason == CloseReason::kBrokenBody || reason == CloseReason::kSlowReader;
@@ -69,8 +69,8 @@
   request.class_name = config_->site.classes[class_index];
   request.idempotency = config_->settings.classes[class_index].idempotency;
   request.timeout_s = call.timeout_s;
-  // The policy has until a whole margin before the client's timeout; half a margin before it the gateway
-  // responds by itself (OnResponseDeadline).
+  // The policy has to decide one margin before the client's timeout. Half a margin before the timeout the
+  // gateway responds without it (OnResponseDeadline).
   request.deadline = Clock::now() + Seconds(limits.timeout_s - limits.margin_s / 2);
   request.client_deadline = Clock::now() + Seconds(limits.timeout_s);
   log_.Log(request.request_id, "taken", "connection=%llu class=%s left_s=%.3f",
@@ -142,7 +142,7 @@
   return stream;
 }
 
-// Counts and logs an attempt that may not be sent, and ends the connection of a client that has gone.
+// Counts and logs an attempt that must not be sent, and closes the connection of a client that has gone.
 SendVerdict RequestLifecycle::CheckAttempt(const InFlightRequest& request, int attempt, SendCheck when) {
   const policy::Settings& settings = request.config->settings;
   SendFacts facts;
@@ -173,7 +173,7 @@
   return verdict;
 }
 
-// From the first piece on the request can't be retried: what was sent is not buffered.
+// From the first piece on the request can't be retried, because the bytes that were sent are not buffered.
 void RequestLifecycle::PullUpload(uint32_t id, std::function<void(std::string bytes, bool last)> deliver) {
   InFlightRequest* request = Find(id);
   if (request == nullptr || request->answered) return;
@@ -188,7 +188,7 @@
   });
 }
 
-// The client's time begins with the last byte of its request.
+// The client's timeout counts from the last byte of its request.
 void RequestLifecycle::OnUploadEnd(uint32_t id) {
   InFlightRequest* request = Find(id);
   if (request == nullptr) return;
@@ -196,7 +196,7 @@
   timers_.Add(request->deadline, TimerKind::kResponseDeadline, id);
 }
 
-// A large response begins: from here on the request belongs to this attempt, however it ends.
+// A streamed response begins. From here on only this attempt can complete the request.
 bool RequestLifecycle::OnResponseStarted(uint32_t id, int attempt, const std::string& headers,
                                          std::optional<uint64_t> length) {
   InFlightRequest* request = Find(id);
@@ -215,9 +215,9 @@
   auto index = static_cast<size_t>(attempt);
   if (index >= request->attempts.size() || !request->attempts[index].in_flight) return;
   bool may_have_run = false;
-  // False: the attempt has ended by itself, and its own outcome is on the way.
+  // If false the attempt has already ended, and its own outcome will be reported.
   if (!pool_.Cancel(request->attempts[index].pool_attempt, &may_have_run)) return;
-  // An attempt that was not written completely has not run, whatever the request's effect.
+  // An attempt that was not written completely has not run, whatever the idempotency of the request.
   PostAttemptEnd(id, attempt, backend, may_have_run ? AttemptResult::kCancelled : AttemptResult::kNotSent);
 }
 
@@ -240,8 +240,8 @@
            Name(end.result), end.duration_s);
   reporting_id_ = id;
   if (policy::MayHaveRun(end.result)) request->may_have_run = true;
-  // The first good response goes to the client at once and ends the request: the client waits, the policy
-  // does not.
+  // The first good response is sent to the client before the outcome is reported to the policy, because the
+  // client is waiting for it.
   bool good = end.result == AttemptResult::kOk;
   bool ends_stream = end.streamed && request->streaming_attempt == attempt;
   if ((ends_stream || (good && !request->streaming_attempt)) && !request->answered) {
@@ -292,7 +292,7 @@
   Respond(id, std::move(response));
 }
 
-// The only response of the request. The request stays until the ends of its attempts are reported.
+// Sends the only response of the request. The request is kept until the ends of its attempts are reported.
 void RequestLifecycle::Respond(uint32_t id, ClientResponse response) {
   InFlightRequest* found = Find(id);
   if (found == nullptr || found->answered) return;
@@ -317,8 +317,8 @@
   ++(status == kStatusOk ? count.ok : shed ? count.shed : count.errors);
 }
 
-// Of a request that is over nothing is sent any more: an attempt whose connection is not open yet is dropped,
-// even where the settings don't allow attempts to be cancelled.
+// Nothing more is sent for a request that is over: an attempt that is still connecting is cancelled, even if
+// the settings don't allow attempts to be cancelled.
 void RequestLifecycle::CancelRequest(uint32_t id) {
   const InFlightRequest& request = in_flight_.at(id);
   for (size_t i = 0; i < request.attempts.size(); ++i) {
@@ -328,7 +328,7 @@
   }
 }
 
-// Not while an outcome of the request is being reported.
+// Does nothing while an outcome of the request is being reported; ReportOutcome calls it again.
 void RequestLifecycle::EraseIfFinished(uint32_t id) {
   const InFlightRequest* request = Find(id);
   if (request == nullptr || reporting_id_ == id) return;
--- a/src/net/request_lifecycle.h
+++ b/src/net/request_lifecycle.h
@@ -1,4 +1,4 @@
-// The requests of clients from their arrival to their response: attempts, deadlines and outcomes.
+// The life of client requests from arrival to response: attempts, deadlines and outcomes.
 #ifndef LEMONCHUTE_NET_REQUEST_LIFECYCLE_H_
 #define LEMONCHUTE_NET_REQUEST_LIFECYCLE_H_
 
@@ -25,22 +25,22 @@
 
 /// Owns the requests in flight. Each gets exactly one response, or its client's connection ends first.
 ///
-/// Events of the client server and the pool come in and are passed to the policy; the policy's actions on
-/// requests are executed here. An event that an action brings about is posted, so that it comes after all
-/// actions of the present event.
+/// Passes events of the client server and the backend pool to the policy and executes the policy's actions on
+/// requests. An event that results from an action is posted, so that it is handled after all actions of the
+/// current event.
 class RequestLifecycle {
  public:
-  /// All outlive the RequestLifecycle, and so do the callbacks given to them.
+  /// Dependencies. All must outlive the RequestLifecycle, and so must the callbacks given to them.
   struct Parts {
     asio::io_context& io;
-    const std::shared_ptr<const Config>& config;  // the one that runs
+    const std::shared_ptr<const Config>& config;  // the running configuration
     const ProcessState& process;
     ClientServer& server;
     BackendPool& pool;
     PolicyDispatcher& policy;
     TimerQueue& timers;
     Metrics& metrics;
-    std::function<void()> on_attempt_end;  // after the end of an attempt was reported
+    std::function<void()> on_attempt_end;  // called after the end of an attempt was reported
   };
 
   explicit RequestLifecycle(Parts parts);
@@ -56,16 +56,17 @@
   void Reject(const policy::Action& action);
   void Fail(uint32_t id);
 
-  /// Responds to a request whose client's time is nearly up while the policy has not decided.
+  /// Responds to a request that the policy has not decided on shortly before its client gives up.
   void OnResponseDeadline(uint32_t id);
-  /// Gives all requests their response. A response that has begun is cut, which its client detects.
+  /// Fails all requests that have no response yet. A streamed response that has begun is cut off, which its
+  /// client can detect.
   void FailAllInFlight();
 
-  /// @return the number of requests that have no response yet.
+  /// @return the number of requests that have no response yet
   size_t unanswered() const { return unanswered_by_connection_.size(); }
 
  private:
-  // When an attempt is checked: as the policy decides on it, and again before its first byte is written.
+  // When an attempt is checked: when the policy decides on it, and again before its first byte is written.
   enum class SendCheck { kDecided, kWriting };
 
   InFlightRequest* Find(uint32_t id);
@@ -104,7 +105,7 @@
   std::unordered_map<uint32_t, InFlightRequest> in_flight_;  // by id
   std::unordered_map<uint64_t, uint32_t> unanswered_by_connection_;
   uint32_t last_id_ = 0;
-  uint32_t reporting_id_ = 0;  // the request of which an outcome is being reported; 0: none
+  uint32_t reporting_id_ = 0;  // the request whose outcome is being reported; 0: none
 };
 
 }  // namespace lemonchute::net
--- a/src/net/request_log.h
+++ b/src/net/request_log.h
@@ -1,4 +1,4 @@
-// Traces single requests through the gateways that they pass.
+// Trace log of individual requests.
 #ifndef LEMONCHUTE_NET_REQUEST_LOG_H_
 #define LEMONCHUTE_NET_REQUEST_LOG_H_
 
@@ -11,17 +11,17 @@
 
 namespace lemonchute::net {
 
-/// Logs one line for each state of each request, by its Request-Id. Off unless LEMONCHUTE_TRACE is set, since
-/// it is too much for regular operation.
+/// Logs one line for each state of each request, with its Request-Id. Off unless LEMONCHUTE_TRACE is set,
+/// since the volume is too high for regular operation.
 class RequestLog {
  public:
   RequestLog() : enabled_(std::getenv("LEMONCHUTE_TRACE") != nullptr) {}
 
-  /// The line begins with the monotonic clock's time and the processor time of this process, both in seconds:
-  /// time that passes without the other was spent waiting for the processor or for events.
-  /// @param request the Request-Id.
-  /// @param state one word.
-  /// @param detail key=value pairs, a format of std::printf for `arguments`.
+  /// The line begins with the monotonic time and the CPU time of this process, both in seconds: where only
+  /// the former advances, the process waited for the CPU or for events.
+  /// @param request the Request-Id
+  /// @param state one word
+  /// @param detail key=value pairs as a printf format for `arguments`
   template <typename... Arguments>
   void Log(const std::string& request, const char* state, const char* detail, Arguments... arguments) const {
     if (!enabled_) return;
--- a/src/net/response_text.cpp
+++ b/src/net/response_text.cpp
@@ -5,7 +5,7 @@
 namespace lemonchute::net {
 namespace {
 
-constexpr size_t kHeaderReserve = 160;  // bytes of the lines that are added here
+constexpr size_t kHeaderReserve = 160;  // bytes of the lines that AppendResponse adds
 
 const char* ReasonPhrase(int status) {
   switch (status) {
--- a/src/net/send_guard.h
+++ b/src/net/send_guard.h
@@ -1,6 +1,6 @@
-// The only check of whether an attempt may be sent, be it the first or a retry. It is made twice: when the
-// policy decides on the attempt, and again immediately before the first byte, since a connection may open
-// late and the process may have been suspended meanwhile.
+// The only check of whether an attempt, first or retry, may be sent. It is made twice: when the policy
+// decides on the attempt, and again immediately before the first byte is written, since the connection may
+// open late and the process may have been suspended in between.
 #ifndef LEMONCHUTE_NET_SEND_GUARD_H_
 #define LEMONCHUTE_NET_SEND_GUARD_H_
 
@@ -10,20 +10,20 @@
 
 namespace lemonchute::net {
 
-/// What is known of an attempt and of its request at the moment of the check.
+/// The state of an attempt and its request at the time of the check.
 struct SendFacts {
   policy::Idempotency idempotency = policy::Idempotency::kIdempotent;
   bool answered = false;         // the request has its response, or the response has begun
   bool client_connected = true;  // the client has not closed the connection
-  bool body_buffered = true;     // no part of the body was discarded
+  bool body_buffered = true;     // the whole body is still buffered
   bool other_in_flight = false;  // another attempt of the request is in flight
   bool hedging_allowed = false;  // the settings allow several attempts at a time
-  bool may_have_run = false;     // an earlier attempt of the request may have had its effect
+  bool may_have_run = false;     // a backend may have executed an earlier attempt
   bool attempts_left = true;     // the settings' limit on attempts is not reached
   std::chrono::steady_clock::time_point now, deadline;
 };
 
-/// Whether an attempt may be sent, and the first reason against it.
+/// Whether an attempt may be sent, or else the first reason against it.
 enum class SendVerdict {
   kSend,
   kAnswered,
@@ -35,8 +35,7 @@
   kUnsafeRepeat,
 };
 
-/// Hedged requests are for idempotent requests only; what may have run and is not idempotent is never
-/// retried.
+/// Only idempotent requests may be hedged. A non-idempotent request that may have run is never retried.
 inline SendVerdict CheckSend(const SendFacts& facts) {
   using policy::Idempotency;
   if (facts.answered) return SendVerdict::kAnswered;
@@ -51,7 +50,7 @@
   return SendVerdict::kSend;
 }
 
-/// The name in the metric `held_back` and in the log.
+/// @return the name in the metric `held_back` and in the log
 inline const char* Name(SendVerdict verdict) {
   switch (verdict) {
     case SendVerdict::kSend: return "sent";
--- a/src/net/socket_io.h
+++ b/src/net/socket_io.h
@@ -1,6 +1,6 @@
-// Operations on non-blocking TCP sockets, shared by all connections of the gateway. They rely only on what
-// the system calls return: an interrupted call is repeated, and a short write is followed by another until
-// the kernel reports a full buffer.
+// Operations on non-blocking TCP sockets, shared by all connections of the gateway. They rely only on the
+// results of the system calls: an interrupted call is repeated, and a short write is followed by another
+// until the kernel reports a full buffer.
 #ifndef LEMONCHUTE_NET_SOCKET_IO_H_
 #define LEMONCHUTE_NET_SOCKET_IO_H_
 
@@ -16,8 +16,8 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-/// Whether socket, bind or connect has failed for lack of a resource of this machine and not because of the
-/// peer (socket(2), connect(2)). Such a failure may pass within moments.
+/// Whether socket, bind or connect failed because a local resource is exhausted and not because of the peer
+/// (socket(2), connect(2)). Such a failure may be over within moments.
 inline bool IsResourceShortage(int error) {
   switch (error) {
     case EADDRNOTAVAIL:
@@ -43,7 +43,7 @@
   }
 }
 
-/// Sends as many of `bytes` as the socket accepts now. A full socket buffer is no error.
+/// Sends as many of `bytes` as the socket accepts now. A full socket buffer is not an error.
 /// @return the number of bytes sent
 inline size_t SendAvailable(tcp::socket& socket, std::string_view bytes, error_code& error) {
   size_t sent = 0;
@@ -60,14 +60,14 @@
 /// Sends what the socket accepts at once, nearly always the whole message in one system call, and the rest as
 /// the buffer drains.
 ///
-/// The wait for a writable socket arms epoll anew each time. asio's own composed write takes a short write
-/// for a full buffer and waits for an edge, which never comes if the buffer was not full. No other event can
-/// occur between the last byte's send and `done`, since both happen in the same call.
+/// Each wait for a writable socket re-arms epoll. asio's own composed write takes a short write as a sign of
+/// a full buffer and waits for an edge, which never comes if the buffer was not full. No other event can
+/// occur between sending the last byte and `done`, since both happen in the same call.
 ///
 /// @param text must stay alive until `done` is called, and unchanged while `current()` is true
 /// @param from offset of the first byte to send
 /// @param done called once with the error, within this call or later; not called if `current()` is false
-/// @param current whether the write is still wanted; if not, nothing further is sent
+/// @param current returns whether the write is still wanted; if not, nothing further is sent
 template <typename Done, typename Current>
 void WriteWhileCurrent(tcp::socket& socket, const std::string& text, size_t from, Done done,
                        Current current) {
@@ -82,7 +82,7 @@
   });
 }
 
-/// Sends the whole of `text`, as WriteWhileCurrent that is always wanted.
+/// Sends the whole of `text`, like WriteWhileCurrent without a condition.
 template <typename Done>
 void WriteAll(tcp::socket& socket, const std::string& text, Done done) {
   WriteWhileCurrent(socket, text, 0, std::move(done), [] { return true; });
--- a/src/net/steady_clock.h
+++ b/src/net/steady_clock.h
@@ -8,7 +8,7 @@
 
 using Clock = std::chrono::steady_clock;
 
-/// Converts a duration in seconds to the clock's own unit.
+/// Converts seconds to the duration type of the clock.
 inline Clock::duration Seconds(double duration_s) {
   return std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(duration_s));
 }
--- a/src/net/text.h
+++ b/src/net/text.h
@@ -1,4 +1,4 @@
-// Small readers of text that several parts share.
+// Text parsing helpers.
 #ifndef LEMONCHUTE_NET_TEXT_H_
 #define LEMONCHUTE_NET_TEXT_H_
 
@@ -11,6 +11,8 @@
 
 namespace lemonchute::net {
 
+/// Parses the whole of `text` as a number.
+/// @return false if it is not one, or if it does not fit into T
 template <typename T>
 bool ParseNumber(std::string_view text, T* value, int base = 10) {
   if (text.empty()) return false;
@@ -23,13 +25,14 @@
   return result.ec == std::errc() && result.ptr == text.data() + text.size();
 }
 
+/// Removes leading and trailing spaces and tabs.
 inline std::string_view Trim(std::string_view text) {
   while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
   while (!text.empty() && (text.back() == ' ' || text.back() == '\t')) text.remove_suffix(1);
   return text;
 }
 
-// The value of `name` in a list of name=value parts.
+/// @return the value of `name` in a list of name=value pairs
 inline std::optional<std::string_view> FindValue(std::string_view list, char separator,
                                                  std::string_view name) {
   while (!list.empty()) {
@@ -44,7 +47,7 @@
   return std::nullopt;
 }
 
-// %41 is A; a malformed escape stays as it is.
+/// Decodes percent-encoded bytes (%41 is A). A malformed escape stays as it is.
 inline std::string PercentDecode(std::string_view text) {
   std::string out;
   for (size_t i = 0; i < text.size(); ++i) {
--- a/src/net/timer_queue.cpp
+++ b/src/net/timer_queue.cpp
@@ -21,7 +21,7 @@
   });
 }
 
-// All that are due leave the queue first, since a handler may add timers that are due at once.
+// Removes all due timers from the queue first, since a handler may add timers that are due immediately.
 void TimerQueue::RunDueTimers() {
   armed_for_.reset();
   auto now = Clock::now();
--- a/src/net/timer_queue.h
+++ b/src/net/timer_queue.h
@@ -1,4 +1,4 @@
-// Many timers on one timer of the event loop.
+// Multiplexes many timers onto one timer of the event loop.
 #ifndef LEMONCHUTE_NET_TIMER_QUEUE_H_
 #define LEMONCHUTE_NET_TIMER_QUEUE_H_
 
@@ -13,19 +13,19 @@
 namespace lemonchute::net {
 
 enum class TimerKind {
-  kPolicy,            // started by the policy; the tag is the policy's
-  kResponseDeadline,  // the deadline of a response; the tag is the id of the request
+  kPolicy,            // started by the policy, which chose the tag
+  kResponseDeadline,  // deadline for a response; the tag is the id of the request
 };
 
-/// Timers that are never cancelled: a receiver that has no use for one any more ignores it.
+/// Timers can't be cancelled: a receiver ignores those that it no longer needs.
 class TimerQueue {
  public:
   using Clock = std::chrono::steady_clock;
   using OnDue = std::function<void(TimerKind kind, uint64_t tag)>;
   using OnBatchEnd = std::function<void()>;
 
-  /// @param on_due called for each timer that is due, in the order of time.
-  /// @param on_batch_end called after all timers that were due in one turn of the event loop.
+  /// @param on_due called for each timer that is due, earliest first
+  /// @param on_batch_end called after all timers that were due in one iteration of the event loop
   TimerQueue(boost::asio::io_context& io, OnDue on_due, OnBatchEnd on_batch_end);
 
   void Add(Clock::time_point due_at, TimerKind kind, uint64_t tag);
