--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -1,4 +1,4 @@
-// Two events that cross: a peer holds a byte back, or sends it, at the point where it hurts most.
+// Race conditions: a peer delays or sends bytes, or closes, at the worst possible moment.
 #include <chrono>
 #include <memory>
 #include <set>
@@ -16,7 +16,7 @@
   return OkResponse(json{{"index", index}, {"snapshot", full}, {"endpoints", entries}}.dump(1));  // indented
 }
 
-// A discovery client alone, against an agent that the test plays; ends when `agent` says so.
+// Runs a discovery client against the given agent until the agent stops the event loop.
 struct DiscoveryClientRunner {
   explicit DiscoveryClientRunner(Server::Handler agent) : server(std::move(agent)) {}
   void Run() {
@@ -39,8 +39,8 @@
       1};
 };
 
-// What a silent watch misses counts as told 6 s after it fell silent: by then a new one must have been
-// opened.
+// A change that a silent watch misses counts as known 6 s after the watch fell silent, so a new watch must
+// have been opened by then.
 TEST(Watch, SilentWatchIsReopenedBeforeMissedChangesCountAsKnown) {
   Clock::time_point silent_since, reopened_at;
   DiscoveryClientRunner* runner = nullptr;
@@ -50,7 +50,7 @@
       if (request.head.find("after=") == std::string::npos) {
         connection.Write(ListResponse(4, json::array(), true));
       } else if (watch_opened.Notify(), watch_opened.count() == 1) {
-        silent_since = Clock::now();  // open, and nothing more on it
+        silent_since = Clock::now();  // the watch stays open and silent
       } else {
         reopened_at = Clock::now();
         runner->io.stop();
@@ -63,7 +63,7 @@
   EXPECT_LT(reopened_at - silent_since, std::chrono::seconds(6));
 }
 
-// Calls that were refused before don't make a watch that then falls silent wait for longer.
+// Earlier refusals must not delay the reopening of a watch that then falls silent.
 TEST(Watch, SilentWatchAfterRefusalsIsReopenedWithoutExtraDelay) {
   DiscoveryClientRunner* runner = nullptr;
   int watch_requests = 0, full_list_requests = 0;
@@ -76,7 +76,7 @@
       } else if (++watch_requests <= kRefused) {
         connection.Write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
       } else if (watch_requests == kRefused + 1) {
-        connection.WaitForClose();  // silent until the client gives it up
+        connection.WaitForClose();  // silent until the client abandons the watch
         return;
       } else {
         runner->io.stop();
@@ -87,11 +87,12 @@
   owned_runner.Run();
   EXPECT_EQ(watch_requests, kRefused + 2);
   EXPECT_EQ(full_list_requests, 1)
-      << "the back-off began anew: only after longer gaps the whole list is asked for";
+      << "the backoff was reset: the full list is requested only after longer gaps";
 }
 
-// A start goes on from the list that it was given, at once: a whole list and a watch are two calls of each of
-// a fleet's gateways, which discovery may not carry, and until it has turned to the second nobody is told.
+// At startup the gateway continues from the cached list with a watch. A full list and a watch would be two
+// calls from each gateway of a fleet, which may overload discovery, and no gateway would learn of changes
+// until the second call is served.
 TEST(Watch, StartContinuesFromTheCachedList) {
   Backend old_backend(RespondsWith(OkResponse("old"))), new_backend(RespondsWith(OkResponse("fresh")));
   Event requested;
@@ -118,17 +119,17 @@
   EXPECT_EQ(request_lines[1].substr(0, 24), "GET /api/targets?after=9");
   EXPECT_EQ(SendRequest(*gateway.Connect(), Request("quote")).body, "fresh");
   gateway.Signal(SIGTERM);
-  EXPECT_EQ(gateway.WaitForExit(), 0);  // before its peers go
+  EXPECT_EQ(gateway.WaitForExit(), 0);  // while its peers still run
 }
 
-// Other than the site's: what it takes is `path` in the settings.
+// The default configuration with changed settings, given as pairs of JSON pointer and value.
 json ConfigWith(std::initializer_list<std::pair<const char*, json>> changes) {
   json config = DefaultConfig(0, 0);
   for (const auto& [path, value] : changes) config["settings"][json::json_pointer(path)] = value;
   return config;
 }
 
-// Discovery's agent for a whole fleet within one event loop: refuses every call for a time, then answers.
+// A discovery agent for a whole fleet in one event loop: responds with 503 for some time, then serves calls.
 class RefusingAgent {
  public:
   RefusingAgent(boost::asio::io_context& io, std::chrono::milliseconds refuse_for)
@@ -159,7 +160,7 @@
       if (error) return;
       bool refuse = Clock::now() < refuse_until_, watch = session->text.find("after=") != std::string::npos;
       session->text.clear();
-      if (!refuse && watch) return pending_watches_.push_back(session);  // nothing to tell
+      if (!refuse && watch) return pending_watches_.push_back(session);  // no change to report
       if (refuse) refused_at.push_back(Clock::now());
       std::string busy = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
       std::string response = refuse ? busy : ListResponse(4, json::array(), true);
@@ -172,8 +173,8 @@
   std::vector<std::shared_ptr<Session>> pending_watches_;
 };
 
-// Whatever came of the calls before, a change counts as told 6 s after discovery could be reached again. A
-// fleet that is refused asks for no more than one that is answered, which is a watch a second from each
+// Whatever happened to earlier calls, a change counts as known 6 s after discovery is reachable again. A
+// fleet that is refused must not send more requests than one that is served: one watch per second and
 // gateway.
 TEST(Watch, RefusedFleetIsUpdatedWithinSixSecondsWithoutExtraLoad) {
   constexpr auto kOutage = std::chrono::seconds(9), kSettled = std::chrono::seconds(5);
@@ -204,9 +205,9 @@
   }
 }
 
-// Guards against drains that the agent has been told of and a gateway asks for only after their grace: where
-// lists are pushed, what the agent gets at the return of discovery counts at once. A process may be held up
-// for 0.15 s before it writes, which the grace covers too.
+// Guards against drains that a gateway learns of only after their grace period. If lists are pushed, a list
+// counts as known as soon as discovery is back and the agent has it. The grace period also covers a process
+// that is stalled for 0.15 s before it writes.
 TEST(Watch, RefusedFleetIsUpdatedWithinTheDrainGraceIfListsArePushed) {
   constexpr auto kOutage = std::chrono::milliseconds(4200), kGrace = std::chrono::milliseconds(1000);
   constexpr auto kProcessStall = std::chrono::milliseconds(150);
@@ -231,8 +232,8 @@
   for (auto& client : clients) client->Stop();
 }
 
-// A new configuration moves discovery for a whole fleet at once: each gateway asks for what has changed,
-// which discovery carries, and not for a whole list, which it does not.
+// A new configuration moves discovery for a whole fleet at once. Each gateway must request only the changes:
+// full lists for all of them would overload discovery.
 TEST(Watch, MovedDiscoveryIsAskedForChangesOnly) {
   DiscoveryClientRunner* runner = nullptr;
   std::vector<std::string> request_lines;
@@ -246,7 +247,7 @@
   DiscoveryClientRunner owned_runner([&](Connection& connection) {
     connection.Read();
     connection.Write(ListResponse(4, json::array(), true));
-    connection.Read();  // its watch
+    connection.Read();  // the watch
     boost::asio::post(runner->io, [&] {
       runner->client.Move(
           {boost::asio::ip::make_address("127.0.0.1"), static_cast<unsigned short>(new_server.port())});
@@ -260,9 +261,9 @@
   EXPECT_EQ(request_lines[0].find("GET /api/targets?after=4&"), 0u) << request_lines[0];
 }
 
-// A request that comes on a resting connection just as that is closed: it is not sent on, since its answer
-// could reach nobody, and the connection is not reset over it, which would take along what the client has not
-// read.
+// A request that arrives on an idle connection just as the gateway closes it is not forwarded, since its
+// response could not be delivered. It must not cause a reset either, which would destroy data that the client
+// has not read yet.
 TEST(Closing, RequestAfterTheHalfCloseIsNotForwardedAndCausesNoReset) {
   Backend backend(RespondsWith(OkResponse("x")));
   GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
@@ -272,11 +273,11 @@
   EXPECT_TRUE(client->WaitForClose());
   client->Write(Request("quote"));
   EXPECT_EQ(fixture.gateway->WaitForExit(), 0);
-  EXPECT_EQ(client->SocketError(), 0) << "reset";
+  EXPECT_EQ(client->SocketError(), 0) << "the connection was reset";
   EXPECT_EQ(backend.requests.count(), 1);
 }
 
-// The platform counts the longest deadline as 3 s where it is longer, and ends the process 0.7 s after that.
+// The platform caps the longest deadline at 3 s and ends the process 0.7 s after it.
 TEST(Closing, InFlightRequestsGetAResponseBeforeTheProcessEnds) {
   Event connection_closed;
   Backend backend(HangsUntilClosed(&connection_closed));
@@ -298,17 +299,18 @@
   EXPECT_EQ(in_flight->Read().status(), 504);
   EXPECT_EQ(late_request->Read().status() / 100, 5);
   EXPECT_EQ(fixture.gateway->WaitForExit(), 0);
-  EXPECT_LT(Clock::now() - terminated_at, std::chrono::seconds(15)) << "not after the deadlines";
+  EXPECT_LT(Clock::now() - terminated_at, std::chrono::seconds(15))
+      << "must end long before the deadlines of the requests";
 }
 
-// What a client sends while an earlier request of it leaves the buffer is taken as it came.
+// Bytes that arrive while an earlier request is removed from the buffer must stay intact.
 TEST(Reading, RequestAfterAPipelinedOneIsForwardedIntact) {
   Event release;
   Backend backend([&](const Message&, Connection&) { return release.Wait(), OkResponse("x"); });
   GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
   auto client = fixture.gateway->Connect();
   client->Write(Request("quote") + Request("quote"));
-  ASSERT_TRUE(backend.requests.Wait());  // the second lies in the buffer, and more is waited for
+  ASSERT_TRUE(backend.requests.Wait());  // the second request is in the buffer, and a read is pending
   release.Notify();
   EXPECT_EQ(client->Read().status(), 200);
   EXPECT_EQ(client->Read().status(), 200);
@@ -319,7 +321,7 @@
   EXPECT_EQ(backend.request(2).Header("Request-Id"), sent.Header("Request-Id"));
 }
 
-// The rest of a long body that comes while the part before it is passed on stays as its client sent it.
+// The rest of a long body must stay intact if it arrives while the part before it is being forwarded.
 TEST(Reading, StreamedBodyIsForwardedIntact) {
   BlockedListener listener;
   GatewayFixture fixture(
@@ -329,17 +331,16 @@
   for (int i = 0; body.size() < size_t{1} << 17; ++i) body += std::to_string(i) + " ";
   std::string request = Request("send-lead", 1, 600000, "", body);
   size_t head_size = request.size() - body.size(),
-         first_part_size = head_size + (size_t{24} << 10);  // a piece and a half
+         first_part_size = head_size + (size_t{24} << 10);  // one and a half pieces
   auto client = fixture.gateway->Connect(), probe = fixture.gateway->Connect();
   client->Write(request.substr(0, first_part_size));
   ASSERT_TRUE(client->WaitUntilDelivered());
-  // Each answer is a turn of the event loop in which what has come is read, a chunk at a time.
+  // Each response takes an iteration of the event loop, in which one chunk of the arrived bytes is read.
   for (int turn = 0; turn < 32; ++turn) EXPECT_EQ(SendRequest(*probe, kReadinessRequest).status(), 200);
   listener.Unblock();
   auto backend = listener.Accept();
   backend->ReadUntil("\r\n\r\n");
-  ASSERT_TRUE(backend->ReadUntil(first_part_size -
-                                 head_size));  // all of it has left the buffer, and more is waited for
+  ASSERT_TRUE(backend->ReadUntil(first_part_size - head_size));  // the buffer is empty, and a read is pending
   client->Write(request.substr(first_part_size));
   ASSERT_TRUE(backend->ReadUntil(body.size()));
   EXPECT_TRUE(backend->unread == body);
@@ -347,7 +348,7 @@
   EXPECT_EQ(client->Read().status(), 200);
 }
 
-// A client that has left is noticed whatever it sent ahead.
+// A disconnect is detected however many bytes the client has pipelined before it.
 TEST(Closing, DisconnectBehindPipelinedBytesIsDetected) {
   for (size_t ahead : {size_t{1} << 10, size_t{40} << 10, size_t{1} << 20}) {
     Event connection_closed;
@@ -365,7 +366,7 @@
   }
 }
 
-// What is sent ahead within bounds is served in its turn; past them the answer says that it is the last.
+// Pipelined bytes beyond the limit are discarded, so the response announces the end of the connection.
 TEST(Closing, ExcessPipelinedBytesEndTheConnectionAfterTheResponse) {
   Event release;
   Backend backend([&](const Message&, Connection&) { return release.Wait(), OkResponse("x"); });
@@ -373,7 +374,8 @@
   auto client = fixture.gateway->Connect();
   client->Write(Request("quote"));
   ASSERT_TRUE(backend.requests.Wait());
-  std::thread flood([&] { client->Write(std::string(size_t{8} << 20, 'x')); });  // more than sockets hold
+  // More than the socket buffers hold.
+  std::thread flood([&] { client->Write(std::string(size_t{8} << 20, 'x')); });
   flood.join();
   release.Notify();
   Message response = client->Read();
@@ -381,8 +383,8 @@
   EXPECT_EQ(response.Header("Connection"), "close");
 }
 
-// An attempt whose connection comes up after its client has left is not made, nor does it wait to be, also
-// where the settings allow no cancels.
+// An attempt that is still connecting when its client disconnects is dropped immediately and never sent, even
+// if the settings do not allow attempts to be cancelled.
 TEST(Attempt, ConnectingAttemptEndsWhenItsClientDisconnects) {
   BlockedListener backend;
   GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}),
@@ -407,13 +409,13 @@
   EXPECT_EQ(backend.ReceivedBytes(), "");
 }
 
-// A backend turns a request away and its client leaves, both while the process stands still: it then finds
-// the answer first, and must not send the request on to the next backend for a client that has gone.
+// A backend rejects a request and the client disconnects, both while the gateway process is stopped. The
+// gateway then reads the rejection first and must not retry on the next backend, because the client has gone.
 TEST(Attempt, NoRetryForAClientWhoseDisconnectWasNotReadYet) {
   std::unique_ptr<Connection> client;
   GatewayProcess* gateway = nullptr;
   Event done;
-  std::atomic<int> requests{-1};  // counted from when both backends have a connection that is kept
+  std::atomic<int> requests{-1};  // negative until both backends have an idle connection
   auto reject_and_disconnect = [&](const Message&, Connection& connection) {
     if (requests < 0) return OkResponse("x");
     if (requests++ > 0) return std::string();
@@ -421,7 +423,8 @@
     connection.Write("HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
     EXPECT_TRUE(connection.WaitUntilDelivered());
     client->Close();
-    std::this_thread::sleep_for(std::chrono::milliseconds(120));  // over what a rule allows
+    // Longer than any rule of the protocol allows for.
+    std::this_thread::sleep_for(std::chrono::milliseconds(120));
     gateway->Signal(SIGCONT);
     done.Notify();
     connection.WaitForClose();
@@ -435,7 +438,7 @@
   while (one.requests.count() == 0 || two.requests.count() == 0) {
     ASSERT_EQ(SendRequest(*client, RequestOfNewCustomer("quote")).status(), 200);
   }
-  std::this_thread::sleep_for(std::chrono::milliseconds(50));  // for both to have rested
+  std::this_thread::sleep_for(std::chrono::milliseconds(50));  // until both connections may be reused
   requests = 0;
   client->Write(RequestOfNewCustomer("quote"));
   ASSERT_TRUE(done.Wait());
@@ -445,8 +448,8 @@
   EXPECT_EQ(ReadMetric(gateway->admin_port, "closed.client_ended"), 1);
 }
 
-// What an attempt tells its backend is what is left to the client when it is written, also where its
-// connection has come up late, and with a long request no more than the client's own time.
+// The timeout announced to the backend is the time that is left to the client when the request is written,
+// even if the connection opened late. For a streamed request it is at most the client's own timeout.
 TEST(Attempt, LateConnectionAnnouncesTheRemainingTime) {
   constexpr int kTimeoutMs = 20000;
   for (size_t body_size : {size_t{0}, size_t{100} << 10}) {
@@ -458,8 +461,8 @@
     auto client = fixture.gateway->Connect();
     auto sent_at = Clock::now();
     client->Write(Request("send-lead", 1, kTimeoutMs, "", std::string(body_size, 'x')));
-    AwaitMetric(fixture.gateway->admin_port, "active",
-                1);  // its attempt has begun, and asks anew after a second
+    // The attempt has begun; the kernel retries the connect after 1 s.
+    AwaitMetric(fixture.gateway->admin_port, "active", 1);
     listener.Unblock();
     auto backend = listener.Accept();
     auto connected_at = Clock::now();
@@ -468,14 +471,15 @@
     int announced_ms = std::atoi(head.Header("Request-Timeout-Ms").c_str());
     EXPECT_GT(announced_ms, 0);
     EXPECT_LE(announced_ms, kTimeoutMs - (body_size == 0 ? elapsed_ms - 150 : 0))
-        << "up after " << elapsed_ms << " ms";
+        << "connected after " << elapsed_ms << " ms";
     ASSERT_TRUE(backend->ReadUntil(body_size));
     backend->Write(OkResponse("x"));
     EXPECT_EQ(client->Read().status(), 200);
   }
 }
 
-// The grace of a drain covers a process that is held up for 0.15 s between its clock and a write.
+// The grace period of a drain must also cover a process that is stalled for 0.15 s between reading the clock
+// and writing.
 TEST(Attempt, NotSentIfAProcessStallCouldExceedTheDrainGrace) {
   constexpr double kGraceS = 0.5;
   boost::asio::io_context io{1};
@@ -485,7 +489,7 @@
   pool.SetBufferBudget(1 << 20);
   pool.Update(1, {boost::asio::ip::make_address("127.0.0.1"), static_cast<unsigned short>(backend.port())});
   pool.Drain(1);
-  std::this_thread::sleep_for(std::chrono::milliseconds(350));  // 0.15 s before the end of the grace
+  std::this_thread::sleep_for(std::chrono::milliseconds(350));  // 0.15 s before the end of the grace period
   auto result = lemonchute::policy::AttemptResult::kOk;
   pool.Send(1, {Request("quote"), std::string::npos, 1}, {1, 0},
             [&](const lemonchute::net::AttemptEnd& end) {
@@ -498,20 +502,23 @@
   EXPECT_EQ(backend.requests.count(), 0);
 }
 
-// A repeat must come within the window, not only be decided on in it: its connection may come up late.
+// A retry must be sent within the retry window. It is not enough that the decision falls into it, since the
+// connection may open late.
 TEST(Attempt, RetryIsNotSentIfItsConnectionOpensAfterTheWindow) {
   constexpr auto kWindow = std::chrono::milliseconds(400);
-  Backend first([](const Message&, Connection&) { return std::string(); });  // ends: it may have run
+  // Closes the connection: it may have run.
+  Backend first([](const Message&, Connection&) { return std::string(); });
   BlockedListener second;
   json entries = json::array({EndpointEntry("s1", first.port()), EndpointEntry("s2", second.port())});
-  entries[1]["zone"] = "b";  // the first goes to its own zone
+  entries[1]["zone"] = "b";  // the first attempt stays in the zone of the gateway
   GatewayFixture fixture(entries, ConfigWith({{"/request-classes/1/window-s", 0.4},
                                               {"/request-classes/1/hard-limit-s", 20.0},
                                               {"/limits/connect-timeout-s", 60.0}}));
   auto client = fixture.gateway->Connect();
   client->Write(Request("save-scenario", 1, 20000));
   ASSERT_TRUE(first.requests.Wait());
-  std::this_thread::sleep_until(Clock::now() + kWindow);  // from its arrival on, so the window is over
+  // Counted from the arrival at the backend, so the window is over.
+  std::this_thread::sleep_until(Clock::now() + kWindow);
   second.Unblock();
   EXPECT_EQ(client->Read().status(), 503);
   fixture.gateway->Signal(SIGTERM);
@@ -519,7 +526,7 @@
   EXPECT_EQ(second.ReceivedBytes(), "");
 }
 
-// A second answer some milliseconds late must find no further request on its connection.
+// A duplicate response that arrives some milliseconds late must not be matched to the next request.
 TEST(Attempt, DuplicateResponseIsNotMatchedToTheNextRequest) {
   boost::asio::io_context io(1);
   lemonchute::net::Metrics metrics;
@@ -529,7 +536,7 @@
     bool first = request.head.find("/one") != std::string::npos;
     if (!first) return OkResponse("two");
     connection.Write(OkResponse("one"));
-    // Held back until a further request has come on the same connection, or its other side has ended it.
+    // Delayed until another request arrives on the connection or the gateway closes it.
     if (!connection.Read().complete) return std::string();
     return OkResponse("one again");
   });
@@ -554,8 +561,8 @@
   pool.CloseIdle();
 }
 
-// A small answer that has begun and never ends is cut soon after its request's time, so that its client can
-// tell.
+// A small response that has begun and never ends is cut off soon after the deadline of its request, which the
+// client can detect.
 TEST(Attempt, SmallResponseThatNeverEndsIsCutOff) {
   Backend backend([](const Message&, Connection& connection) {
     std::string first_part =
@@ -574,12 +581,12 @@
   EXPECT_NE(client->ReadUntil("200 OK"), "");
   while (client->ReadMore() && client->unread.size() < (1 << 16)) {
   }
-  EXPECT_EQ(client->unread.find("\r\n0\r\n"), std::string::npos) << "must not look whole";
+  EXPECT_EQ(client->unread.find("\r\n0\r\n"), std::string::npos) << "the response must not look complete";
   AwaitMetric(fixture.gateway->admin_port, "errors.quote", 1);
 }
 
-// A client that stops in the middle of a request and stays is owed its error or a close within 3 s, also on a
-// connection that has served before.
+// A client that stalls in the middle of a request must get an error or a close within 3 s, even on a
+// connection that has already served requests.
 TEST(Closing, ClientStalledInALaterHeaderIsClosedWithinThreeSeconds) {
   Backend backend(RespondsWith(OkResponse("x")));
   GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
@@ -592,7 +599,7 @@
   EXPECT_LT(Clock::now() - stalled_at, std::chrono::seconds(3));
 }
 
-// The same of one that stops in a body that is passed on, whatever it brought just before.
+// The same holds for a client that stalls in a streamed body, however much it sent just before.
 TEST(Closing, ClientStalledInAStreamedBodyIsClosedWithinThreeSeconds) {
   Server backend([](Connection& connection) {
     while (connection.ReadMore()) {
@@ -601,7 +608,7 @@
   GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
   auto client = fixture.gateway->Connect();
   std::string request = Request("save-scenario", 1, 1400, "", std::string(200000, 'y'));
-  client->Write(request.substr(0, 70000));  // more than is held: it is passed on from here
+  client->Write(request.substr(0, 70000));  // more than is buffered, so that the body is streamed
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
   client->Write(request.substr(70000, 40000));
   auto stalled_at = Clock::now();
@@ -610,7 +617,7 @@
   EXPECT_LT(Clock::now() - stalled_at, std::chrono::seconds(3));
 }
 
-// Another customer's settings: a plan that has neither a rate nor a cap is within its quota.
+// A plan with neither a rate nor a cap has no quota that a request could exceed.
 TEST(Settings, PlanWithoutAQuotaIsServed) {
   Backend backend(RespondsWith(OkResponse("x")));
   GatewayFixture fixture(
--- a/tests/gateway_rig.h
+++ b/tests/gateway_rig.h
@@ -1,5 +1,5 @@
-// What the socket tests share: a gateway process, and the peers it talks to, on ephemeral loopback ports.
-// Everything waits for events, with limits far above what any of them takes.
+// Test support for tests over real sockets: a gateway process and its peers, on ephemeral loopback ports.
+// Everything waits for events, with timeouts far above the time that any event takes.
 #ifndef LEMONCHUTE_TESTS_GATEWAY_RIG_H_
 #define LEMONCHUTE_TESTS_GATEWAY_RIG_H_
 
@@ -32,7 +32,7 @@
 namespace rig {
 
 using nlohmann::json;
-inline constexpr int kEventTimeoutS = 60;  // an event that has not come by then never will
+inline constexpr int kEventTimeoutS = 60;  // an event that has not occurred by then counts as missing
 
 inline int MakeLoopbackSocket(sockaddr_in* address, int port) {
   *address = {};
@@ -42,7 +42,7 @@
   return socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 }
 
-// A listening socket on a loopback port that the system has chosen.
+// A listening socket on a loopback port that was chosen by the kernel.
 struct ListeningSocket {
   int fd = -1;
   int port = 0;
@@ -60,6 +60,7 @@
   return listening;
 }
 
+// A parsed HTTP message. `head` holds the start line and the header lines.
 struct Message {
   std::string head, body;
   bool complete = false;
@@ -77,7 +78,7 @@
   int status() const { return complete && head.size() > 12 ? std::atoi(head.c_str() + 9) : 0; }
 };
 
-// A blocking connection, of either side.
+// A blocking TCP connection, for clients and for servers.
 class Connection {
  public:
   explicit Connection(int fd) : fd_(fd) {
@@ -94,7 +95,7 @@
     return std::make_unique<Connection>(fd);
   }
   void Write(const std::string& text) { (void)!send(fd_, text.data(), text.size(), MSG_NOSIGNAL); }
-  // More bytes into what was read. False at the connection's end.
+  // Reads more bytes into `unread`. Returns false at the end of the connection.
   bool ReadMore() {
     char part[65536];
     ssize_t n = recv(fd_, part, sizeof(part), 0);
@@ -117,7 +118,8 @@
     message.complete = true;
     return message;
   }
-  // Reads until `text` is among what was read, and takes all up to its end.
+  // Reads until `text` has arrived, then removes and returns everything up to its end. Empty if the
+  // connection ends first.
   std::string ReadUntil(const std::string& text) {
     size_t position;
     while ((position = unread.find(text)) == std::string::npos) {
@@ -133,21 +135,21 @@
     }
     return true;
   }
-  // Waits for the other side's end of the connection; true if nothing more came before it.
+  // Waits until the peer closes the connection. Returns false if data arrives first.
   bool WaitForClose() { return !ReadMore(); }
   bool IsOpen() const {
     char byte;
     ssize_t n = recv(fd_, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     return n > 0 || (n < 0 && errno == EAGAIN);
   }
-  // What the system has to say of the connection: ECONNRESET where the other side has reset it.
+  // The pending socket error: ECONNRESET if the peer has reset the connection.
   int SocketError() const {
     int error = 0;
     socklen_t size = sizeof(error);
     getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error, &size);
     return error;
   }
-  // Waits until the other side's system has all that was written.
+  // Waits until the peer's kernel has acknowledged everything that was written.
   bool WaitUntilDelivered() const {
     for (int i = 0, unacknowledged = 1; i < kEventTimeoutS * 1000; ++i) {
       if (ioctl(fd_, SIOCOUTQ, &unacknowledged) != 0) return false;
@@ -167,7 +169,7 @@
   int fd_;
 };
 
-// A listener whose connections each run `handler` on a thread of their own.
+// A server that runs `handler` on a thread per connection.
 class Server {
  public:
   using Handler = std::function<void(Connection&)>;
@@ -215,8 +217,8 @@
   std::thread accept_thread_;
 };
 
-// A listener whose connections do not come up until Free: its queue is full, and what asks to connect asks
-// again.
+// A listener whose accept queue is full, so that connects stay pending and are repeated by the kernel until
+// Unblock is called.
 class BlockedListener {
  public:
   BlockedListener() : filler_(Connection::ConnectTo(listening_.port)) {}
@@ -229,7 +231,7 @@
   std::unique_ptr<Connection> Accept() {
     return std::make_unique<Connection>(accept(listening_.fd, nullptr, nullptr));
   }
-  // All that has been sent to it; once the other side has ended, that is all there will ever be.
+  // All bytes received on the pending connections. Complete once the peer process has ended.
   std::string ReceivedBytes() {
     std::string bytes;
     pollfd queue{listening_.fd, POLLIN, 0};
@@ -247,7 +249,7 @@
   std::unique_ptr<Connection> filler_;
 };
 
-// A flag or count that tests wait for.
+// A thread-safe counter that tests can wait for.
 class Event {
  public:
   void Notify() {
@@ -275,8 +277,8 @@
          body;
 }
 
-// A backend that counts requests and answers each by `answer(request, wire)`; an empty answer ends the
-// connection.
+// A backend that records requests and responds with `handler(request, connection)`. An empty response closes
+// the connection.
 class Backend {
  public:
   using Handler = std::function<std::string(const Message&, Connection&)>;
@@ -309,6 +311,7 @@
   Server server_;
 };
 
+// One entry of an endpoint list from discovery.
 inline json EndpointEntry(const std::string& name, int port, const std::string& status = "active") {
   return {{"name", name},  {"address", "127.0.0.1:" + std::to_string(port)},
           {"zone", "a"},   {"type", "std"},
@@ -316,7 +319,7 @@
           {"weight", 1.0}, {"since_ms", 0}};
 }
 
-// Discovery's agent: the whole list, then watches.
+// A discovery agent: sends the full endpoint list first and then responds to watches.
 class Discovery {
  public:
   Discovery()
@@ -371,7 +374,7 @@
     silent_ = silent;
     changed_.notify_all();
   }
-  // The gateway has taken in the list as set last: its next watch is here.
+  // Waits until the gateway has applied the list that was set last, as its next watch shows.
   bool AwaitListApplied() {
     std::unique_lock lock(mutex_);
     Event& event = watches_[index_];
@@ -379,7 +382,7 @@
     return event.Wait();
   }
   int port() const { return server_.port(); }
-  Event full_lists_applied;  // whole lists that a gateway has taken in, as its next watch shows
+  Event full_lists_applied;  // full lists that a gateway has applied, as its next watch shows
 
  private:
   std::mutex mutex_;
@@ -392,7 +395,7 @@
   Server server_;
 };
 
-// A folder that ends with the test, for what a gateway keeps.
+// A temporary folder for the stored files of a gateway, removed at the end of the test.
 class TempFolder {
  public:
   TempFolder() {
@@ -465,14 +468,14 @@
           {"settings", DefaultSettings()}};
 }
 
-// A running gateway. `environment` is set for it alone.
+// A gateway process. `environment` is set for this process only.
 class GatewayProcess {
  public:
   using Environment = std::map<std::string, std::string>;
   explicit GatewayProcess(const json& config, const char* program = LEMONCHUTE_GATEWAY,
                           rlim_t descriptors = 0, const Environment& environment = {}, int passed_socket = -1)
       : GatewayProcess(config.dump(), program, descriptors, environment, passed_socket) {}
-  // `passed`: a listening socket that the process inherits as descriptor 4.
+  // `passed_socket`: a listening socket that the process inherits as descriptor 4.
   GatewayProcess(const std::string& config, const char* program, rlim_t descriptors,
                  const Environment& environment = {}, int passed_socket = -1) {
     char path[] = "/tmp/lemonchute-test-XXXXXX";
@@ -501,22 +504,22 @@
     }
     close(pipe_fds[1]);
     log_fd_ = pipe_fds[0];
-    auto await_port =
-        [&](const char* prefix) {  // the port at the end of that line; 0 where the log ends before it
-          for (;;) {
-            char c = 0;
-            std::string next;
-            while (read(log_fd_, &c, 1) == 1 && c != '\n') next += c;
-            if (next.empty() && c != '\n') return 0;
-            if (!listen_line.empty()) early_log += listen_line + "\n";
-            listen_line = next;
-            if (listen_line.find(prefix) != std::string::npos)
-              return std::atoi(listen_line.c_str() + listen_line.rfind(':') + 1);
-          }
-        };
+    // Reads the log up to a line with `prefix` and returns the port at its end; 0 if the log ends first.
+    auto await_port = [&](const char* prefix) {
+      for (;;) {
+        char c = 0;
+        std::string next;
+        while (read(log_fd_, &c, 1) == 1 && c != '\n') next += c;
+        if (next.empty() && c != '\n') return 0;
+        if (!listen_line.empty()) early_log += listen_line + "\n";
+        listen_line = next;
+        if (listen_line.find(prefix) != std::string::npos)
+          return std::atoi(listen_line.c_str() + listen_line.rfind(':') + 1);
+      }
+    };
     if (environment.count("LB_OPS") != 0) admin_port = await_port("operators at ");
     port = await_port(" listens on ");
-    log_reader_ = std::thread([this] {  // its log must not fill the pipe
+    log_reader_ = std::thread([this] {  // keeps the pipe of the log from filling up
       char part[4096];
       ssize_t n;
       while ((n = read(log_fd_, part, sizeof(part))) > 0) late_log.append(part, static_cast<size_t>(n));
@@ -530,7 +533,7 @@
     unlink(path_.c_str());
   }
   void Signal(int signal) { kill(pid_, signal); }
-  // Replaces the configuration file as a whole and says so.
+  // Atomically replaces the configuration file, then sends SIGHUP.
   void Reconfigure(const json& config) { Reconfigure(config.dump()); }
   void Reconfigure(const std::string& config) {
     std::string new_path = path_ + ".new";
@@ -546,7 +549,7 @@
     close(log_fd_);
     return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
   }
-  // The most memory that it has had, in kB.
+  // The peak resident memory in kB; -1 if it is unknown.
   long PeakMemoryKb() const {
     std::ifstream status("/proc/" + std::to_string(pid_) + "/status");
     for (std::string text; std::getline(status, text);) {
@@ -564,7 +567,7 @@
   pid_t pid() const { return pid_; }
   std::unique_ptr<Connection> Connect() const { return Connection::ConnectTo(port); }
   int port = 0, admin_port = 0;
-  // The log: what came before the line that names the port, that line, and after Exit the others.
+  // The log: before the line that names the port, that line, and, after WaitForExit, the rest.
   std::string early_log, listen_line, late_log;
 
  private:
@@ -574,6 +577,7 @@
   std::thread log_reader_;
 };
 
+// The text of a valid request of the given class.
 inline std::string Request(const std::string& class_name, int spread = 1, int timeout_ms = 3000,
                            const std::string& extra_headers = "", const std::string& body = "") {
   static std::atomic<int> last{0};
@@ -588,6 +592,7 @@
   return text + extra_headers + "\r\n" + body;
 }
 
+// Sends the request and reads the response.
 inline Message SendRequest(Connection& connection, const std::string& request) {
   connection.Write(request);
   return connection.Read();
--- a/tests/gateway_site.h
+++ b/tests/gateway_site.h
@@ -1,4 +1,4 @@
-// Whole gateways among peers that behave, and what an operator asks of them.
+// Test fixtures: complete gateways with working peers, and calls to the admin endpoint.
 #ifndef LEMONCHUTE_TESTS_GATEWAY_SITE_H_
 #define LEMONCHUTE_TESTS_GATEWAY_SITE_H_
 
@@ -11,7 +11,8 @@
 
 namespace rig {
 
-// The counter: answers one call after another by `answer(name, amount)`; an empty text answers nothing.
+// A shared counter service: replies to each call with `handler(name, amount)`, or not at all if that is
+// empty.
 class Counter {
  public:
   using Handler = std::function<std::string(const std::string&, double)>;
@@ -55,7 +56,7 @@
   return std::string("$").append(std::to_string(text.size())).append("\r\n" + text + "\r\n");
 }
 
-// A gateway among peers that behave, with the given backends.
+// A gateway with working peers and the given backends.
 struct GatewayFixture {
   explicit GatewayFixture(const json& entries, json config = {}, const char* program = LEMONCHUTE_GATEWAY,
                           rlim_t descriptors = 0, const GatewayProcess::Environment& environment = {}) {
@@ -75,14 +76,14 @@
 inline Backend::Handler RespondsWith(const std::string& text) {
   return [text](const Message&, Connection&) { return text; };
 }
-// Says nothing until the gateway gives the attempt up.
+// Sends no response until the gateway closes the connection.
 inline Backend::Handler HangsUntilClosed(Event* connection_closed) {
   return [connection_closed](const Message&, Connection& connection) {
     if (connection.WaitForClose()) connection_closed->Notify();
     return std::string();
   };
 }
-// One call of an operator.
+// One call of the admin endpoint.
 inline Message AdminCall(int port, const std::string& method, const std::string& path,
                          const std::string& body = "") {
   auto caller = Connection::ConnectTo(port);
@@ -92,6 +93,7 @@
 inline const std::string kReadinessRequest = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 inline const GatewayProcess::Environment kAdminEnvironment = {{"LB_OPS", "127.0.0.1:0"}};
 
+// The value of a metric at the admin endpoint; -1 if it is not shown.
 inline long ReadMetric(int port, const std::string& name) {
   std::istringstream lines(AdminCall(port, "GET", "/control/counters").body);
   for (std::string line; std::getline(lines, line);) {
@@ -100,7 +102,7 @@
   return -1;
 }
 
-// A request of a customer not seen before, so that no quota is in its way.
+// A request of a customer that was not used before, so that its quota is unused.
 inline std::string RequestOfNewCustomer(const std::string& class_name) {
   static int last = 0;
   std::string request = Request(class_name), customer = std::to_string(10000000 + ++last);
@@ -114,7 +116,7 @@
   EXPECT_EQ(ReadMetric(port, name), value);
 }
 
-// The platform's side of an upgrade: it holds the clients' socket and starts processes that share a folder.
+// The platform's side of an upgrade: starts processes that share a listening socket for clients and a folder.
 struct UpgradeFixture {
   UpgradeFixture() { discovery.SetList(json::array({EndpointEntry("s1", backend.port())})); }
   ~UpgradeFixture() { close(socket); }
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -1,4 +1,5 @@
-// The gateway over loopback sockets: each trap that its code guards against, seen from outside.
+// Tests of the gateway process over loopback sockets: requests, retries, streaming, reload, admin endpoint
+// and upgrade.
 #include <atomic>
 #include <chrono>
 #include <memory>
@@ -12,7 +13,7 @@
 
 using namespace rig;  // NOLINT
 
-// A port where nothing listens.
+// A port on which nothing listens.
 int DeadPort() {
   return Server([](Connection&) {}).port();
 }
@@ -35,7 +36,8 @@
   EXPECT_FALSE(sent.Header("Request-Id").empty());
   EXPECT_EQ(sent.head.find("Request-Timeout-Ms"), sent.head.rfind("Request-Timeout-Ms"));
   EXPECT_LE(std::atoi(sent.Header("Request-Timeout-Ms").c_str()), 3000);
-  // A connection rests for 10 ms from its answer on, which is past once the answer has been here for longer.
+  // A backend connection is not reused until 10 ms after its response. That time has passed once the response
+  // has been here for longer.
   auto wait_for_reuse = [] { std::this_thread::sleep_for(std::chrono::milliseconds(30)); };
   wait_for_reuse();
   EXPECT_EQ(SendRequest(*client, Request("save-scenario", 1, 3000, "", "b")).status(), 200);
@@ -86,11 +88,11 @@
   EXPECT_EQ(backend.requests.count(), 0);
   auto client = fixture.gateway->Connect();
   EXPECT_EQ(SendRequest(*client, without_header(valid, "X-Tier")).status(), 400);
-  EXPECT_EQ(SendRequest(*client, valid).status(), 200) << "the framing was sound, so the connection goes on";
+  EXPECT_EQ(SendRequest(*client, valid).status(), 200)
+      << "the framing was valid, so the connection stays open";
 }
 
-// Who connects and never comes to a request is answered or closed soon; a client between requests is kept.
-// Each odd form of a time-out has one meaning, and none is a budget without end.
+// Malformed timeouts are rejected, and no value leads to an unlimited one.
 TEST(Gateway, ParsesTheTimeoutStrictlyAndLimitsItByTheClass) {
   Backend backend(RespondsWith(OkResponse("x")));
   GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
@@ -121,6 +123,8 @@
   EXPECT_LE(announced_ms("  0900  "), 900);
 }
 
+// A client that connects and never completes a request gets an error or is closed soon. A client that is idle
+// between requests stays connected.
 TEST(Gateway, ClosesClientsThatNeverCompleteARequest) {
   Backend backend(RespondsWith(OkResponse("x")));
   GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
@@ -136,16 +140,16 @@
   }
   for (auto& silent_client : silent_clients) EXPECT_TRUE(silent_client->WaitForClose());
   EXPECT_LT(std::chrono::steady_clock::now() - started_at, std::chrono::seconds(6))
-      << "2.5 s, on a busy machine";
+      << "the limit is 2.5 s; the rest allows for a busy machine";
   EXPECT_EQ(backend.requests.count(), 1);
   EXPECT_TRUE(client->IsOpen());
   EXPECT_EQ(SendRequest(*client, Request("quote")).status(), 200);
   auto large = fixture.gateway->Connect();
   large->Write("POST /send-lead HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n" + std::string(2000, 'b'));
-  EXPECT_EQ(large->Read().status(), 413) << "at its header, also with the first of its bytes";
+  EXPECT_EQ(large->Read().status(), 413) << "rejected at the header, even if body bytes arrive with it";
 }
 
-// What a client may also write, and means the same.
+// Different spellings of a request that the HTTP specifications define as equivalent.
 TEST(Gateway, AcceptsEquivalentRequestSyntax) {
   Backend backend([](const Message& m, Connection&) { return OkResponse(m.body); });
   GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
@@ -164,7 +168,7 @@
     EXPECT_EQ(SendRequest(*client, text).status(), 200) << text;
   }
   EXPECT_EQ(backend.request(0).head.substr(0, 24), "GET /quote?a=1 HTTP/1.1\r");
-  EXPECT_EQ(backend.request(1).head.substr(0, 12), "GET /qu%6Fte") << "unaltered";
+  EXPECT_EQ(backend.request(1).head.substr(0, 12), "GET /qu%6Fte") << "forwarded unchanged";
   std::string http10_request =
       with_replaced(Request("quote", 1, 3000, "Connection: Keep-Alive\r\n"), "HTTP/1.1", "HTTP/1.0");
   EXPECT_EQ(SendRequest(*client, http10_request).Header("Connection"), "keep-alive");
@@ -173,7 +177,7 @@
   EXPECT_EQ(client->Read().body, "abcde");
 }
 
-// Bytes that come before the answer to the request before them are the next request.
+// Bytes that arrive before the response to the previous request belong to the next request.
 TEST(Gateway, ServesPipelinedRequestsInOrder) {
   Backend backend([](const Message& m, Connection&) { return OkResponse(m.body); });
   GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
@@ -203,8 +207,8 @@
   }
 }
 
-// An answer that says it is longer than any may be is given up at its header, also where the first bytes of
-// its body come along: nothing of the stated size is kept room for or read.
+// A response whose announced length exceeds the limit is abandoned at its header, even if the first bytes of
+// the body arrive with it: no memory of the announced size is allocated, and the body is not read.
 TEST(Gateway, AbandonsAResponseBeyondTheBodyLimitAtItsHeader) {
   for (std::string head :
        {"Content-Length: 3000000000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\nb2d05e00\r\n"}) {
@@ -227,10 +231,10 @@
   GatewayFixture fixture(json::array({EndpointEntry("s1", full.port())}));
   auto client = fixture.gateway->Connect();
   EXPECT_EQ(SendRequest(*client, Request("send-lead")).status(), 503)
-      << "it never ran, so asking again is harmless";
+      << "it did not run, so the client may safely retry";
 }
 
-// What could not be connected to has not run, so another backend may get even an unsafe request.
+// After a failed connect the request has not run, so even a non-idempotent one may go to another backend.
 TEST(Gateway, RetriesOnAnotherBackendAfterAFailedConnect) {
   Backend backend(RespondsWith(OkResponse("x")));
   GatewayFixture fixture(
@@ -240,7 +244,7 @@
   EXPECT_EQ(backend.requests.count(), 6);
 }
 
-// A kept connection that the backend has ended, or written to unasked, takes no further request.
+// An idle connection that the backend has closed, or on which it has sent unsolicited bytes, is not reused.
 TEST(Gateway, DoesNotReuseAStaleConnection) {
   for (std::string after : {"close", "bytes", "header"}) {
     Event closed;
@@ -258,7 +262,7 @@
     if (after == "bytes") {
       EXPECT_TRUE(closed.Wait());
     }
-    // The end may cross the next request; from the one after it on the connection is known to be over.
+    // The close may cross the next request. By the request after that it is known.
     if (after == "close") SendRequest(*client, Request("quote"));
     EXPECT_EQ(SendRequest(*client, Request("send-lead")).status(), 200) << after;
   }
@@ -288,7 +292,7 @@
   EXPECT_EQ(backend.requests.count(), 1);
 }
 
-// What is given up is closed before another attempt goes out: never two at once.
+// An abandoned attempt is closed before the next one is sent, so that there are never two at once.
 TEST(Gateway, ClosesAnAttemptBeforeItSendsTheNext) {
   Event connection_closed;
   std::atomic<int> requests_seen{0};
@@ -304,7 +308,7 @@
   EXPECT_EQ(SendRequest(*fixture.gateway->Connect(), Request("quote")).body, "second");
 }
 
-// A connection that comes up after its attempt was given up carries nothing.
+// Nothing is sent on a connection that opens after its attempt was abandoned.
 TEST(Gateway, SendsNothingOnAConnectionThatOpensLate) {
   BlockedListener backend;
   {
@@ -312,7 +316,7 @@
     auto client = fixture.gateway->Connect();
     EXPECT_EQ(SendRequest(*client, Request("send-lead")).status(), 503);
   }
-  // The gateway has ended, so all that it ever sent is here.
+  // The gateway has exited, so everything that it ever sent has arrived.
   backend.Unblock();
   EXPECT_EQ(backend.ReceivedBytes(), "");
 }
@@ -328,7 +332,7 @@
   EXPECT_TRUE(connection_closed.Wait());
 }
 
-// The module's refusal comes at once, with the time after which to come back.
+// Requests over quota are rejected immediately, with the time after which to retry.
 TEST(Gateway, RejectsRequestsOverQuotaWithRetryAfter) {
   Backend backend(RespondsWith(OkResponse("x")));
   GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
@@ -343,8 +347,8 @@
   EXPECT_GT(std::atof(last.Header("Retry-After").c_str()), 0);
 }
 
-// If the module says nothing the answer still comes in time, and promises harmlessness only where that is
-// known.
+// If the policy never decides, the gateway still responds in time. The status is 503, which means that a
+// retry is safe, only if that is known.
 TEST(Gateway, RespondsInTimeIfThePolicyNeverDecides) {
   Event connection_closed;
   Backend backend(HangsUntilClosed(&connection_closed));
@@ -352,7 +356,7 @@
   EXPECT_EQ(SendRequest(*fixture.gateway->Connect(), Request("quote", 1, 200)).status(), 503);
   EXPECT_EQ(SendRequest(*fixture.gateway->Connect(), Request("send-lead", 1, 200)).status(), 503);
   EXPECT_EQ(SendRequest(*fixture.gateway->Connect(), Request("save-scenario", 1, 200)).status(), 504);
-  EXPECT_TRUE(connection_closed.Wait()) << "what is out at the answer is given up";
+  EXPECT_TRUE(connection_closed.Wait()) << "the attempt in flight is abandoned with the response";
 }
 
 TEST(Gateway, AppliesEndpointListsFromDiscovery) {
@@ -365,25 +369,26 @@
   };
   EXPECT_EQ(served_by(), "one");
   fixture.discovery.SetList(json::array({EndpointEntry("b", two.port())}));
-  EXPECT_EQ(served_by(), "two") << "what a whole list does not name is gone";
+  EXPECT_EQ(served_by(), "two") << "a backend that a full list does not contain is removed";
   fixture.discovery.SetList(json::array({EndpointEntry("b", one.port())}));
-  EXPECT_EQ(served_by(), "one") << "an address may change";
+  EXPECT_EQ(served_by(), "one") << "the address of a backend may change";
   fixture.discovery.SetList(
       json::array({EndpointEntry("a", two.port()), EndpointEntry("b", one.port(), "leaving")}), false,
       json::array({EndpointEntry("a", two.port()), EndpointEntry("b", one.port(), "leaving")}));
-  EXPECT_EQ(served_by(), "two") << "nothing new to one that leaves";
+  EXPECT_EQ(served_by(), "two") << "a backend that is leaving gets no new requests";
   fixture.discovery.SetList(json::array({EndpointEntry("a", two.port())}), true, {}, "no list");
-  EXPECT_EQ(served_by(), "two") << "garbage changes nothing, and is asked for again";
+  EXPECT_EQ(served_by(), "two") << "a malformed list changes nothing and is requested again";
 }
 
-// SIGHUP ends nothing: what is held goes on, and discovery and the counter are those that the file names now.
+// On SIGHUP requests in flight continue, and the gateway switches to the discovery and counter addresses of
+// the new file.
 TEST(Gateway, UsesTheNewDiscoveryAndCounterAddressesAfterSighup) {
   Event request_held, release;
   Backend one(
       [&](const Message&, Connection&) { return request_held.Notify(), release.Wait(), OkResponse("one"); });
   Backend two(RespondsWith(OkResponse("two")));
   GatewayFixture fixture(json::array({EndpointEntry("a", one.port())}));
-  Discovery discovery;  // tells of a later version, as a list of one version has one content
+  Discovery discovery;  // set twice for a higher index, since one index stands for one content
   discovery.SetList(json::array({EndpointEntry("a", one.port())}));
   discovery.SetList(json::array({EndpointEntry("b", two.port())}));
   Counter counter([](const std::string&, double) { return BulkString("0"); });
@@ -393,7 +398,7 @@
   fixture.gateway->Reconfigure(DefaultConfig(discovery.port(), counter.port()));
   ASSERT_TRUE(discovery.AwaitListApplied());
   std::string other_customer_request =
-      Request("quote", 2);  // of a customer not seen before, which is asked about at once
+      Request("quote", 2);  // of a new customer, for whom the counter is called immediately
   EXPECT_EQ(SendRequest(
                 *late, other_customer_request.replace(other_customer_request.find("b4d65521"), 8, "b4d65522"))
                 .body,
@@ -401,7 +406,7 @@
   EXPECT_TRUE(counter.calls.Wait());
   release.Notify();
   EXPECT_EQ(early->Read().body, "one");
-  fixture.gateway->Reconfigure({{"name", "nothing else"}});  // what cannot be read changes nothing
+  fixture.gateway->Reconfigure({{"name", "nothing else"}});  // an invalid file changes nothing
   EXPECT_EQ(SendRequest(*late, Request("quote", 2)).body, "two");
 }
 
@@ -414,17 +419,17 @@
       DefaultConfig(discovery.port(), counter.port(), json::array({EndpointEntry("s1", backend.port())})));
   auto client = gateway.Connect();
   EXPECT_EQ(SendRequest(*client, Request("quote")).status(), 200);
-  for (int i = 0; i < 3000; ++i) {  // ready without discovery, once its first call has failed
+  for (int i = 0; i < 3000; ++i) {  // ready without discovery once its first call has failed
     if (SendRequest(*client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200) break;
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
   EXPECT_EQ(SendRequest(*client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
 }
 
-// Discovery that can't carry the fleet answers 503. Gateways come again at times of their own, and go on from
-// the version that they have: whole lists from all of them would keep it down.
+// An overloaded discovery responds with 503. Gateways must not retry at the same time, and must continue from
+// the index that they have: requests for full lists from all gateways would keep discovery overloaded.
 TEST(Discovery, RefusedClientsSpreadTheirRetries) {
-  constexpr int kWatchRequests = 6;  // of watches, after the first whole list
+  constexpr int kWatchRequests = 6;  // after the first full list
   std::chrono::steady_clock::duration elapsed[2];
   for (uint64_t seed : {1, 2}) {
     boost::asio::io_context io(1);
@@ -500,8 +505,8 @@
   for (int i = 0; i < 3000 && SendRequest(*probe, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200;
        ++i) {
   }
-  // A new connection, and one that was there before. Like a client, it asks again if the gateway's closing of
-  // idle connections has crossed its request.
+  // A new connection and an existing one. Like a client, the test retries if the gateway closed the
+  // connection as idle while the request was under way.
   partial->Write(partial_request.substr(50));
   EXPECT_TRUE(request_held.Wait(2));
   std::unique_ptr<Connection> new_client;
@@ -522,12 +527,13 @@
   EXPECT_EQ(fixture.gateway->WaitForExit(), 0);
 }
 
-// More connections than there are descriptors: the longest idle make room, and what waits is taken later.
+// With more connections than descriptors, the connections that have been idle longest are evicted, and
+// waiting connections are accepted later.
 TEST(Gateway, SurvivesRunningOutOfDescriptors) {
   Backend backend(RespondsWith(OkResponse("x")));
   json config = DefaultConfig(0, 0);
   config["limits"]["sockets"] = 64;
-  for (rlim_t limit : {64, 16}) {  // within its budget, and with less than that
+  for (rlim_t limit : {64, 16}) {  // as configured, and fewer than configured
     GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}), config, LEMONCHUTE_GATEWAY,
                            limit);
     std::vector<std::unique_ptr<Connection>> idle;
@@ -558,7 +564,7 @@
     GatewayProcess gateway(text, LEMONCHUTE_GATEWAY, 0);
     EXPECT_NE(gateway.WaitForExit(), 0);
     EXPECT_NE(gateway.listen_line.find(expected), std::string::npos) << gateway.listen_line;
-    EXPECT_EQ(gateway.late_log, "") << "one line";
+    EXPECT_EQ(gateway.late_log, "") << "only one line is logged";
   }
 }
 
@@ -580,10 +586,10 @@
   EXPECT_EQ(
       SendRequest(*fixture.gateway->Connect(), "GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(),
       400)
-      << "not for clients";
+      << "admin calls are not available to clients";
 }
 
-// Callers that hold a connection without a whole call give way to one that has something to say.
+// Connections with an incomplete call are closed in favour of a caller that sends a complete one.
 TEST(AdminEndpoint, RespondsWhileOtherCallersSendIncompleteCalls) {
   GatewayFixture fixture(json::array(), {}, LEMONCHUTE_GATEWAY, 0, kAdminEnvironment);
   int admin_port = fixture.gateway->admin_port;
@@ -627,8 +633,8 @@
   EXPECT_EQ(ReadMetric(admin_port, "pool_ejected"), 1);
 }
 
-// Taken out by hand: its kept connections end, nothing more goes to it whatever discovery says, also after a
-// start with the same folder, until one call back.
+// While a backend is offline its idle connections are closed and it gets no requests, whatever discovery
+// reports. This survives a restart with the same folder, until an operator sets the backend online.
 TEST(AdminEndpoint, KeepsABackendOfflineUntilItIsSetOnline) {
   Event closed;
   Backend backend([&](const Message&, Connection& connection) {
@@ -662,7 +668,7 @@
   EXPECT_EQ(send_request(fixture).status(), 503);
   EXPECT_EQ(AdminCall(fixture.gateway->admin_port, "PUT", "/control/backends/s%201/online").status(), 200);
   EXPECT_EQ(ReadMetric(fixture.gateway->admin_port, "pool_ejected"), 0);
-  for (int i = 0; i < 3000 && send_request(fixture).status() != 200; ++i) {  // it is met as cold
+  for (int i = 0; i < 3000 && send_request(fixture).status() != 200; ++i) {  // it is treated as cold at first
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
   EXPECT_EQ(backend.requests.count(), 2);
@@ -682,7 +688,8 @@
   EXPECT_EQ(SendRequest(*fixture.gateway->Connect(), Request("quote")).status(), 200);
 }
 
-// Drained: not ready at once, goes on serving, then lets go of clients' connections, and comes back.
+// A drained gateway stops being ready immediately, still serves requests, closes idle client connections and
+// can return to service.
 TEST(AdminEndpoint, DrainsAndReturnsToService) {
   Backend backend(RespondsWith(OkResponse("x")));
   GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0,
@@ -704,8 +711,8 @@
   EXPECT_EQ(SendRequest(*client, Request("quote")).Header("Connection"), "");
 }
 
-// A replaced file counts as a whole: classes come and go and change their effect, and what is held goes on as
-// it came.
+// A new file applies as a whole: classes are added, removed or change their effect. Requests in flight
+// continue under the configuration with which they arrived.
 TEST(Reload, AppliesNewClassesAndLimitsToLaterRequestsOnly) {
   Event request_held, release;
   std::atomic<bool> fails{false};
@@ -723,29 +730,29 @@
   json config = DefaultConfig(fixture.discovery.port(), fixture.counter.port());
   json& classes = config["settings"]["request-classes"];
   classes[0]["effect"] = "single_shot";  // quote
-  classes[2]["name"] = "send-note";      // in place of send-lead
+  classes[2]["name"] = "send-note";      // replaces send-lead
   config["settings"]["limits"]["try-limit"] = 1;
   fixture.gateway->Reconfigure(config);
   AwaitMetric(admin_port, "config_applied", 1);
   EXPECT_EQ(SendRequest(*client, RequestOfNewCustomer("send-note")).status(), 200);
   EXPECT_EQ(SendRequest(*client, RequestOfNewCustomer("send-lead")).status(), 400);
   EXPECT_EQ(SendRequest(*client, RequestOfNewCustomer("quote")).status(), 405)
-      << "now a class that is not safe, so POST";
+      << "the class is no longer idempotent and requires POST";
   release.Notify();
-  EXPECT_EQ(early->Read().status(), 502) << "a single shot that may have run, as when it came";
+  EXPECT_EQ(early->Read().status(), 502) << "still non-idempotent, as when it arrived, and it may have run";
   EXPECT_EQ(ReadMetric(admin_port, "ok.send-note"), 1);
-  EXPECT_EQ(ReadMetric(admin_port, "ok.send-lead"), 1) << "a dropped class keeps its counts";
+  EXPECT_EQ(ReadMetric(admin_port, "ok.send-lead"), 1) << "a removed class keeps its counts";
   fails = true;
   int before = backend.requests.count();
   EXPECT_EQ(SendRequest(*client, Request("save-scenario")).status(), 503);
-  EXPECT_EQ(backend.requests.count(), before + 1) << "attempts have become fewer";
+  EXPECT_EQ(backend.requests.count(), before + 1) << "the attempt limit is now 1";
 }
 
 TEST(Reload, AppliesNothingFromAnInvalidFile) {
   Backend backend(RespondsWith(OkResponse("x")));
   GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0,
                          kAdminEnvironment);
-  json valid = DefaultConfig(1, 1);  // addresses where nothing is
+  json valid = DefaultConfig(1, 1);  // addresses on which nothing listens
   valid["settings"]["request-classes"][2]["name"] = "send-note";
   std::vector<std::string> files = {"", valid.dump().substr(0, valid.dump().size() / 2)};
   auto add_with = [&](const char* pointer, const json& value) {
@@ -780,13 +787,14 @@
   EXPECT_EQ(ReadMetric(fixture.gateway->admin_port, "config_applied"), 0);
 }
 
-// A body that is longer than what is held, and that shows any byte out of its place.
+// Text in which every position is distinguishable, so that lost or misplaced bytes are detected.
 std::string NumberedText(size_t size) {
   std::string text;
   for (size_t i = 0; text.size() < size; ++i) text += std::to_string(i) + ",";
   return text.substr(0, size);
 }
 
+// `body` in chunks of at most `max_chunk` bytes, with chunk extensions and without the last chunk.
 std::string ChunkedBody(const std::string& body, size_t max_chunk) {
   std::string text;
   char size[40];
@@ -798,6 +806,7 @@
   return text;
 }
 
+// Reads a chunked body up to its last chunk, or returns a text that says what is missing.
 std::string ReadChunkedBody(Connection& connection) {
   std::string body;
   for (;;) {
@@ -810,7 +819,8 @@
   }
 }
 
-// A large answer is passed on while it still comes, in whatever way its length is told.
+// A large response is forwarded while it is still arriving, whether it is delimited by its length, by chunks
+// or by the end of the connection.
 TEST(Stream, ForwardsALargeResponseAsItArrives) {
   std::string body = NumberedText(300000);
   size_t half = 150000;
@@ -836,7 +846,7 @@
     EXPECT_EQ(head.substr(0, 15), "HTTP/1.1 200 OK") << framing;
     EXPECT_NE(head.find("X-Note: kept"), std::string::npos) << framing;
     ASSERT_TRUE(client->ReadUntil(30000)) << framing;
-    EXPECT_EQ(ReadMetric(fixture.gateway->admin_port, "active"), 1) << "not ended yet";
+    EXPECT_EQ(ReadMetric(fixture.gateway->admin_port, "active"), 1) << "the response is not complete yet";
     first_half_received.Notify();
     if (framing == "length") {
       ASSERT_TRUE(client->ReadUntil(body.size()));
@@ -847,12 +857,13 @@
       EXPECT_EQ(client->ReadUntil("\r\n"), "\r\n");
     }
     AwaitMetric(fixture.gateway->admin_port, "ok.quote", 1);
-    EXPECT_EQ(SendRequest(*client, kReadinessRequest).status(), 200) << "kept: " << framing;
+    EXPECT_EQ(SendRequest(*client, kReadinessRequest).status(), 200)
+        << "the connection must stay open: " << framing;
     EXPECT_EQ(backend.requests.count(), 1);
   }
 }
 
-// What breaks off after it has begun is neither tried again nor made to look whole.
+// A streamed response that breaks off is not retried, and the client can tell that it is incomplete.
 TEST(Stream, CutsOffAResponseThatBreaksOff) {
   std::string body = NumberedText(100000);
   for (bool chunks : {false, true}) {
@@ -879,7 +890,7 @@
   }
 }
 
-// A client that does not read holds its backend up, and costs no more memory than one that does.
+// Backpressure: a client that does not read stalls its backend and uses no more memory than one that reads.
 TEST(Stream, BuffersNoMoreThanAPieceForASlowClient) {
   constexpr size_t kSize = size_t{32} << 20;
   std::atomic<size_t> written{0};
@@ -897,7 +908,7 @@
   client->Write(Request("quote"));
   ASSERT_NE(client->ReadUntil("\r\n\r\n"), "");
   for (size_t previous = 1, current = 0;
-       previous != current || current == 0;) {  // until its backend has come to rest
+       previous != current || current == 0;) {  // until the backend is blocked
     previous = written;
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
     current = written;
@@ -914,14 +925,14 @@
   EXPECT_LT(fixture.gateway->PeakMemoryKb(), 24 << 10);
 }
 
-// Where memory is short less is held: what would fit elsewhere is passed on as it comes.
+// With little memory, responses that would otherwise be buffered are streamed.
 TEST(Stream, BuffersLessWhenMemoryIsShort) {
   std::string body = NumberedText(40000);
   constexpr int kClients = 6;
   Event requests_received, first_half_received;
   Backend backend([&](const Message&, Connection& connection) {
     requests_received.Notify();
-    EXPECT_TRUE(requests_received.Wait(kClients)) << "each is to have a sixth of the budget";
+    EXPECT_TRUE(requests_received.Wait(kClients)) << "each request should get a sixth of the budget";
     connection.Write("HTTP/1.1 200 OK\r\nContent-Length: 40000\r\n\r\n" + body.substr(0, 20000));
     EXPECT_TRUE(first_half_received.Wait());
     connection.Write(body.substr(20000));
@@ -944,7 +955,8 @@
   }
 }
 
-// A large body reaches the backend while it still comes, framed as it came, and only once it was asked for.
+// A large body is forwarded while it is still arriving, with the framing that the client used, and 100
+// Continue is sent before it.
 TEST(Stream, ForwardsALargeRequestBodyAsItArrives) {
   std::string body = NumberedText(300000);
   size_t half = 150000;
@@ -975,7 +987,7 @@
     EXPECT_EQ(client->ReadUntil("\r\n\r\n"), "HTTP/1.1 100 Continue\r\n\r\n");
     client->Write(chunks ? ChunkedBody(body.substr(0, half), 999) : body.substr(0, half));
     ASSERT_TRUE(first_half_received.Wait()) << chunks;
-    EXPECT_EQ(ReadMetric(fixture.gateway->admin_port, "tries"), 0) << "its last byte is not out";
+    EXPECT_EQ(ReadMetric(fixture.gateway->admin_port, "tries"), 0) << "the last byte is not written yet";
     client->Write(chunks ? ChunkedBody(body.substr(half), 70000) + "0\r\nX-End: 1\r\n\r\n"
                          : body.substr(half));
     EXPECT_EQ(client->Read().body, "done");
@@ -983,12 +995,12 @@
     EXPECT_EQ(received_body, body) << chunks;
     EXPECT_NE(head.find("Request-Id: "), std::string::npos);
     EXPECT_EQ(ReadMetric(fixture.gateway->admin_port, "tries"), 1);
-    EXPECT_EQ(SendRequest(*client, kReadinessRequest).status(), 200) << "kept";
+    EXPECT_EQ(SendRequest(*client, kReadinessRequest).status(), 200) << "the connection must stay open";
   }
 }
 
-// A body that has gone out in part is not held, so it is not sent again; it has not run, so it is refused at
-// once.
+// A body that was sent in part is not buffered, so the request is not retried. It has not run, so it is
+// rejected immediately with 503.
 TEST(Stream, DoesNotRetryARequestWhoseBodyIsNotBuffered) {
   Server backend([](Connection& connection) { connection.ReadUntil(100000); });
   GatewayFixture fixture(
@@ -1002,7 +1014,7 @@
   EXPECT_EQ(backend.connections, 1);
 }
 
-// Framing that another reader could take otherwise reaches no backend.
+// A request whose framing another parser could interpret differently is not forwarded.
 TEST(Stream, RejectsAmbiguousFraming) {
   Backend backend(RespondsWith(OkResponse("x")));
   GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
@@ -1025,7 +1037,7 @@
   EXPECT_EQ(backend.requests.count(), 0);
 }
 
-// Every connection is answered by the one process or the other: those that the old one took by the old one.
+// Every request is served by one of the two processes; the old one completes those that it has accepted.
 TEST(Upgrade, NewProcessTakesOverWithoutRejectingRequests) {
   UpgradeFixture upgrade;
   auto old = upgrade.Start();
@@ -1037,7 +1049,8 @@
   auto next = upgrade.Start();
   EXPECT_EQ(next->port, old->port);
   UpgradeFixture::AwaitReady(*next);
-  EXPECT_EQ(SendRequest(*idle, Request("quote")).status(), 200) << "beside the next one it serves on";
+  EXPECT_EQ(SendRequest(*idle, Request("quote")).status(), 200)
+      << "the old process still serves beside the new one";
   old->Signal(SIGTERM);
   Message response;
   for (int i = 0; i < 3000 && response.Header("Connection") != "close"; ++i)
@@ -1050,11 +1063,11 @@
   EXPECT_EQ(old->WaitForExit(), 0);
   old.reset();
   auto client = next->Connect();
-  EXPECT_EQ(SendRequest(*client, Request("quote")).status(), 200) << "the shared socket goes on listening";
+  EXPECT_EQ(SendRequest(*client, Request("quote")).status(), 200) << "the shared socket still listens";
   EXPECT_EQ(ReadMetric(next->admin_port, "errors.quote"), 0);
 }
 
-// What an operator tells one process binds the other and the next, also after a kill.
+// A backend set offline at one process is offline at the other and at later processes, even after a SIGKILL.
 TEST(Upgrade, OfflineStateIsSharedByBothProcesses) {
   UpgradeFixture upgrade;
   auto old = upgrade.Start();
@@ -1074,7 +1087,7 @@
   EXPECT_EQ(ReadMetric(next->admin_port, "pool_ejected"), 1);
 }
 
-// A file that is there means nothing by itself; a lock on it ends with its holder.
+// The process file alone does not show a running peer; the lock on it does, and it ends with the process.
 TEST(PeerProcess, IsDetectedOnlyWhileItRuns) {
   TempFolder folder;
   std::ofstream(folder.path() + "/lb-processes") << "left behind";
@@ -1089,7 +1102,7 @@
   EXPECT_FALSE(lemonchute::net::PeerProcess("").Alive());
 }
 
-// Names of one hash get ids of their own, the same whatever order they come in.
+// Backend names with equal hashes get distinct ids, which do not depend on their order.
 TEST(BackendIds, AssignsDistinctIdsToCollidingNames) {
   lemonchute::net::BackendIds one([](std::string_view) { return 7u; }),
       two([](std::string_view) { return 7u; });
@@ -1105,7 +1118,7 @@
   EXPECT_EQ(first.entries[1].backend.id, second.entries[0].backend.id);
 }
 
-// The client of the counter, driven directly: its loop runs until `done`.
+// Drives a counter client directly: runs its event loop until `done`.
 struct CounterClientRunner {
   CounterClientRunner(int port, double timeout_s)
       : client(io, {boost::asio::ip::address_v4::loopback(), static_cast<uint16_t>(port)}, timeout_s, 5,
@@ -1120,7 +1133,7 @@
   lemonchute::net::CounterClient client;
 };
 
-// An answer past its call's time-out is matched to that call, not to the next one on the connection.
+// A reply that arrives after its call has timed out is matched to that call and not to the next one.
 TEST(CounterClient, MatchesLateRepliesToTheirOwnCalls) {
   Event release;
   Counter counter([&](const std::string&, double amount) {
@@ -1131,7 +1144,7 @@
   runner.client.Call(11, 1, 5);
   runner.RunUntil([&] { return runner.responses.size() == 1; });
   EXPECT_EQ(runner.responses[0].result, lemonchute::policy::AttemptResult::kTimeout)
-      << "it may have been added";
+      << "the amount may have been added";
   release.Notify();
   for (int i = 0; i < 20; ++i) {
     runner.client.Call(20 + i, 2 + i, 5);
@@ -1162,7 +1175,8 @@
   EXPECT_EQ(failed.responses[0].result, lemonchute::policy::AttemptResult::kTimeout);
 }
 
-// An unreadable answer ends its connection, not the dealings with a counter that has answered on it before.
+// An unreadable reply ends its connection, but the counter is called again without delay if it has replied on
+// that connection before.
 TEST(CounterClient, ContinuesImmediatelyAfterAnUnreadableReply) {
   std::atomic<int> seen{0};
   Counter counter(
@@ -1177,8 +1191,8 @@
   }
 }
 
-// A silent counter: what is out is bounded, every call ends, and once it is silent for long the connections
-// are opened anew.
+// With a silent counter the number of calls in flight is limited, every call ends, and after a long silence
+// the connections are reopened.
 TEST(CounterClient, LimitsCallsInFlightAndReconnectsAfterALongSilence) {
   std::atomic<bool> silent{true};
   Counter counter([&](const std::string&, double) { return silent ? std::string() : BulkString("5"); });
