--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -592,8 +592,8 @@
   GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
   auto client = fixture.gateway->Connect();
   ASSERT_EQ(SendRequest(*client, Request("quote")).status(), 200);
-  std::string partial_request = Request("quote");
-  client->Write(partial_request.substr(0, partial_request.size() / 2));
+  std::string request = Request("quote");
+  client->Write(request.substr(0, request.size() / 2));
   auto stalled_at = Clock::now();
   EXPECT_TRUE(client->WaitForClose() || client->WaitForClose());
   EXPECT_LT(Clock::now() - stalled_at, std::chrono::seconds(3));
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -14,7 +14,7 @@
 using namespace rig;  // NOLINT
 
 // A port on which nothing listens.
-int DeadPort() {
+int UnusedPort() {
   return Server([](Connection&) {}).port();
 }
 
@@ -130,11 +130,11 @@
   GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
   auto client = fixture.gateway->Connect();
   EXPECT_EQ(SendRequest(*client, Request("quote")).status(), 200);
-  std::string partial_request = Request("send-lead", 1, 3000, "", "the body");
+  std::string full_request = Request("send-lead", 1, 3000, "", "the body");
   std::vector<std::unique_ptr<Connection>> silent_clients;
   auto started_at = std::chrono::steady_clock::now();
-  for (std::string sent : {std::string(), std::string("no http"), partial_request.substr(0, 60),
-                           partial_request.substr(0, partial_request.size() - 1)}) {
+  for (std::string sent : {std::string(), std::string("no http"), full_request.substr(0, 60),
+                           full_request.substr(0, full_request.size() - 1)}) {
     silent_clients.push_back(fixture.gateway->Connect());
     silent_clients.back()->Write(sent);
   }
@@ -238,7 +238,7 @@
 TEST(Gateway, RetriesOnAnotherBackendAfterAFailedConnect) {
   Backend backend(RespondsWith(OkResponse("x")));
   GatewayFixture fixture(
-      json::array({EndpointEntry("dead", DeadPort()), EndpointEntry("live", backend.port())}));
+      json::array({EndpointEntry("dead", UnusedPort()), EndpointEntry("live", backend.port())}));
   auto client = fixture.gateway->Connect();
   for (int i = 0; i < 6; ++i) EXPECT_EQ(SendRequest(*client, Request("send-lead")).status(), 200);
   EXPECT_EQ(backend.requests.count(), 6);
@@ -495,11 +495,11 @@
   });
   GatewayFixture fixture(
       json::array({EndpointEntry("s1", backend.port()), EndpointEntry("s2", second_backend.port())}));
-  auto client = fixture.gateway->Connect(), partial = fixture.gateway->Connect();
+  auto client = fixture.gateway->Connect(), delayed = fixture.gateway->Connect();
   client->Write(Request("send-lead", 1, 3000));
   EXPECT_TRUE(request_held.Wait());
-  std::string partial_request = Request("save-scenario");
-  partial->Write(partial_request.substr(0, 50));
+  std::string delayed_request = Request("save-scenario");
+  delayed->Write(delayed_request.substr(0, 50));
   fixture.gateway->Signal(SIGTERM);
   auto probe = fixture.gateway->Connect();
   for (int i = 0; i < 3000 && SendRequest(*probe, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200;
@@ -507,7 +507,7 @@
   }
   // A new connection and an existing one. Like a client, the test retries if the gateway closed the
   // connection as idle while the request was under way.
-  partial->Write(partial_request.substr(50));
+  delayed->Write(delayed_request.substr(50));
   EXPECT_TRUE(request_held.Wait(2));
   std::unique_ptr<Connection> new_client;
   for (int i = 0; i < 50 && request_held.count() < 3; ++i) {
@@ -518,7 +518,7 @@
   }
   ASSERT_NE(new_client, nullptr);
   release.Notify();
-  for (Connection* connection : {client.get(), new_client.get(), partial.get()}) {
+  for (Connection* connection : {client.get(), new_client.get(), delayed.get()}) {
     Message response = connection->Read();
     EXPECT_EQ(response.status(), 200);
     EXPECT_EQ(response.Header("Connection"), "close");
@@ -1162,7 +1162,7 @@
   overloaded.RunUntil([&] { return overloaded.responses.size() == 1; });
   EXPECT_EQ(overloaded.responses[0].result, lemonchute::policy::AttemptResult::kOverloaded);
 
-  CounterClientRunner refused(DeadPort(), 30);
+  CounterClientRunner refused(UnusedPort(), 30);
   for (int i = 0; i < 200; ++i) refused.client.Call(i, 1, 5);
   refused.RunUntil([&] { return refused.responses.size() == 200; });
   for (const auto& response : refused.responses)
