--- a/src/net/backend_pool.cpp
+++ b/src/net/backend_pool.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-// Idle connections are closed after this share of the backend's own idle limit. Guards against a request that
-// is written just as the backend closes and would end as a reset.
+// Idle connections are closed after this share of the backend's own idle limit. Otherwise a request could be
+// written just as the backend closes the connection and would end in a reset.
 constexpr double kIdleTimeoutShare = 0.7;
-constexpr double kDefaultIdleS = 5;  // where the settings name no idle limit
-// Subtracted from the drain's grace: a stall of the process, and the time that a list takes from discovery to
-// here.
+constexpr double kDefaultIdleS = 5;  // if the settings name no idle limit
+// Subtracted from the grace period of a drain, for a stall of the process and the time that a list takes from
+// discovery to this process.
 constexpr double kDrainGraceMarginS = std::chrono::duration<double>(kMaxProcessStall).count() + 0.05;
 
 }  // namespace
@@ -34,7 +34,7 @@
 }
 
 void BackendPool::SetLimits(double idle_s, double connect_timeout_s, double drain_grace_s) {
-  idle_ = Seconds(idle_s > 0 ? idle_s * kIdleTimeoutShare : kDefaultIdleS);
+  idle_timeout_ = Seconds(idle_s > 0 ? idle_s * kIdleTimeoutShare : kDefaultIdleS);
   connect_timeout_ = Seconds(connect_timeout_s);
   drain_grace_ = Seconds(std::max(0.0, drain_grace_s - kDrainGraceMarginS));
 }
@@ -113,7 +113,7 @@
   return true;
 }
 
-void BackendPool::ForgetIdle(uint32_t id, const BackendConnection* connection) {
+void BackendPool::RemoveIdle(uint32_t id, const BackendConnection* connection) {
   Backend* backend = Find(id);
   if (backend == nullptr) return;
   std::erase_if(backend->idle_connections,
@@ -133,7 +133,7 @@
     // Ordered by their last response, so the reusable ones come first. The latest of them is taken.
     auto position = std::partition_point(
         idle.begin(), idle.end(),
-        [now = Clock::now()](const auto& connection) { return connection->Reusable(now); });
+        [now = Clock::now()](const auto& connection) { return connection->IsReusable(now); });
     if (position == idle.begin()) return nullptr;
     std::shared_ptr<BackendConnection> candidate = std::move(*--position);
     idle.erase(position);
@@ -153,7 +153,7 @@
     if (connection == nullptr && EnsureConnectionSlot())
       connection = std::make_shared<BackendConnection>(this, id, backend->address);
   }
-  if (connection == nullptr) {  // no such backend, its grace is over, or every connection is in use
+  if (connection == nullptr) {  // unknown backend, grace period over, or all connections in use
     asio::post(io_, [done = std::move(done)] {
       AttemptEnd end;
       end.result = AttemptResult::kConnectFailed;
@@ -175,7 +175,7 @@
   return true;
 }
 
-bool BackendPool::Withdraw(uint64_t attempt) {
+bool BackendPool::CancelIfConnecting(uint64_t attempt) {
   auto it = in_flight_.find(attempt);
   bool may_have_run = false;
   return it != in_flight_.end() && !it->second->open() && Cancel(attempt, &may_have_run);
--- a/src/net/client_server.cpp
+++ b/src/net/client_server.cpp
@@ -7,7 +7,7 @@
 namespace lemonchute::net {
 namespace {
 
-// At the limit of connections one of so many is evicted, if it is idle.
+// At the connection limit, one in this many connections is evicted if it is idle.
 constexpr size_t kEvictionDivisor = 8;
 
 }  // namespace
@@ -24,7 +24,7 @@
   for (auto& [id, connection] : connections_) connection->Detach();
 }
 
-void ClientServer::SetMost(size_t connections) {
+void ClientServer::SetMaxConnections(size_t connections) {
   max_connections_ = connections;
   ResumeAccepting();
 }
@@ -44,8 +44,9 @@
   Accept();
 }
 
-// Closes the connections that have been idle longest. Their places become free when their clients have closed
-// as well or have had the time to, so several are evicted at once, and none while evictions are pending.
+// Closes the connections that have been idle longest. A slot becomes free only when the client has closed its
+// side or the linger timeout has passed, so several are evicted at once, and none while evictions are
+// pending.
 void ClientServer::EvictIdle() {
   std::vector<uint64_t> oldest(idle_order_.begin(), idle_order_.end());
   size_t wanted = lingering_connections_ > 0 ? 0 : 1 + max_connections_ / kEvictionDivisor;
@@ -56,7 +57,7 @@
 }
 
 void ClientServer::OnAccepted(tcp::socket socket) {
-  Prepare(socket);
+  ConfigureSocket(socket);
   uint64_t id = ++last_id_;
   auto connection = std::make_shared<ClientConnection>(this, id, std::move(socket));
   connections_[id] = connection;
@@ -74,8 +75,8 @@
   return it == connections_.end() ? nullptr : it->second;
 }
 
-void ClientServer::Reply(uint64_t id, Answer answer) {
-  if (auto connection = Find(id)) connection->Reply(answer);
+void ClientServer::Reply(uint64_t id, ClientResponse response) {
+  if (auto connection = Find(id)) connection->Reply(response);
 }
 
 void ClientServer::Pull(uint64_t id, OnPiece on_piece) {
@@ -86,16 +87,16 @@
   if (auto connection = Find(id)) connection->BeginStream(headers, length);
 }
 
-void ClientServer::Put(uint64_t id, const std::string& piece, std::function<void()> taken) {
-  if (auto connection = Find(id)) connection->Put(piece, std::move(taken));
+void ClientServer::SendPiece(uint64_t id, const std::string& piece, std::function<void()> on_consumed) {
+  if (auto connection = Find(id)) connection->SendPiece(piece, std::move(on_consumed));
 }
 
-bool ClientServer::ClientPresent(uint64_t id) const {
+bool ClientServer::IsClientConnected(uint64_t id) const {
   auto connection = Find(id);
-  return connection != nullptr && connection->ClientPresent();
+  return connection != nullptr && connection->IsClientConnected();
 }
 
-void ClientServer::ClientLeft(uint64_t id) {
+void ClientServer::CloseDisconnected(uint64_t id) {
   if (auto connection = Find(id)) connection->Close(CloseReason::kClientEnded);
 }
 
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -45,7 +45,7 @@
                         [this] { lifecycle_.ApplyResourceLimits(); }}),
       admin_api_(lifecycle_, offline_backends_, *config_manager, members_, metrics_,
                  [this] { return ReadGauges(); }) {
-  metrics_.classes = metrics_.WithNames(config.socket_settings.classes);
+  metrics_.classes = metrics_.CountsForClasses(config.socket_settings.classes);
   counter_.Start(counter_.Prepare(config));
   StartPolicy(config);
   offline_backends_.Apply();
@@ -66,7 +66,7 @@
   return admin_server_ ? std::optional(admin_server_->local()) : std::nullopt;
 }
 
-// The policy starts with the endpoint list that was cached, if there is one.
+// Starts the policy with the cached endpoint list, if there is one.
 void Gateway::StartPolicy(const Config& config) {
   BackendList cached = ParseCachedList(config);
   if (cached.is_snapshot) discovery_.Resume(cached.index);
@@ -118,7 +118,7 @@
   process_.endpoint_list_known = true;
 }
 
-// The gateway serves by the list as last known.
+// The gateway continues with the last known endpoint list.
 void Gateway::OnDiscoveryFailed() {
   endpoints_.OnDiscoveryFailed();
   process_.endpoint_list_known = true;
--- a/src/net/request_lifecycle.cpp
+++ b/src/net/request_lifecycle.cpp
@@ -14,11 +14,11 @@
 
 constexpr int kStatusOk = 200, kStatusNotFound = 404, kStatusTooManyRequests = 429, kStatusBadGateway = 502,
               kStatusUnavailable = 503, kStatusGatewayTimeout = 504;
-// After the client's deadline: a response that is later than this counts as a violation.
+// A response that is decided later than this after the client's deadline is an invariant violation.
 constexpr double kResponseGraceS = 0.5;
 constexpr size_t kTimeoutHeaderBytes = 48;
 
-// Whether a request was cut off by its client rather than by the gateway.
+// Whether the close was caused by the client rather than by the gateway.
 bool ClosedByClient(CloseReason reason) {
   return reason == CloseReason::kClientEnded || reason == CloseReason::kSlowBody ||
          reason == CloseReason::kBrokenBody || reason == CloseReason::kSlowReader;
@@ -50,13 +50,13 @@
 
 void RequestLifecycle::OnClientRequest(uint64_t connection, ClientMessage message,
                                        const std::optional<Upload>& upload) {
-  std::string_view target = OriginForm(View(message.target()));
+  std::string_view target = OriginForm(ToStringView(message.target()));
   if (target.substr(0, 3) == "/-/") return RespondToHealthCheck(connection, target);
-  ClientCall call = ReadCall(message, *config_);
+  ClientCall call = ParseCall(message, *config_);
   if (call.status != 0) {
-    Answer answer;
-    answer.status = call.status;
-    return server_.Reply(connection, std::move(answer));
+    ClientResponse response;
+    response.status = call.status;
+    return server_.Reply(connection, std::move(response));
   }
   RequestTimeLimits limits =
       ComputeTimeLimits(call.timeout_s, message, upload, process_.RemainingLifetimeS());
@@ -69,12 +69,12 @@
   request.class_name = config_->socket_settings.classes[class_index];
   request.idempotency = config_->settings.classes[class_index].idempotency;
   request.timeout_s = call.timeout_s;
-  // The policy has until a whole margin before the client's timeout; half a margin before it the gateway
-  // responds by itself (OnResponseDeadline).
+  // The policy has to decide one margin before the client's timeout. Half a margin before the timeout the
+  // gateway responds without it (OnResponseDeadline).
   request.deadline = Clock::now() + Seconds(limits.timeout_s - limits.margin_s / 2);
   request.client_deadline = Clock::now() + Seconds(limits.timeout_s);
-  log_.Note(request.request_id, "taken", "connection=%llu class=%s left_s=%.3f",
-            static_cast<unsigned long long>(connection), request.class_name.c_str(), limits.timeout_s);
+  log_.Log(request.request_id, "taken", "connection=%llu class=%s left_s=%.3f",
+           static_cast<unsigned long long>(connection), request.class_name.c_str(), limits.timeout_s);
   call.request.id = id;
   call.request.time_left_s = limits.timeout_s - limits.margin_s;
   timers_.Add(request.deadline, TimerKind::kResponseDeadline, id);
@@ -85,9 +85,9 @@
 
 void RequestLifecycle::RespondToHealthCheck(uint64_t connection, std::string_view target) {
   int ready_status = process_.IsReady() ? kStatusOk : kStatusUnavailable;
-  Answer answer;
-  answer.status = target == "/-/ready" ? ready_status : kStatusNotFound;
-  server_.Reply(connection, std::move(answer));
+  ClientResponse response;
+  response.status = target == "/-/ready" ? ready_status : kStatusNotFound;
+  server_.Reply(connection, std::move(response));
 }
 
 void RequestLifecycle::SendAttempt(const policy::Action& action) {
@@ -102,10 +102,10 @@
   request.attempts.back().in_flight = true;
   if (verdict != SendVerdict::kSend) return PostAttemptEnd(id, attempt, backend, AttemptResult::kNotSent);
   double left_s = std::chrono::duration<double>(request.deadline - Clock::now()).count();
-  double patience_s = action.duration_s == 0 ? left_s : std::min(action.duration_s, left_s);
+  double timeout_s = action.duration_s == 0 ? left_s : std::min(action.duration_s, left_s);
   AttemptMessage message = MakeAttemptMessage(id, request, attempt);
   request.attempts.back().pool_attempt = pool_.Send(
-      backend, std::move(message), {patience_s, action.start_within_s},
+      backend, std::move(message), {timeout_s, action.start_within_s},
       [this, id, attempt, backend](AttemptEnd end) { OnAttemptEnd(id, attempt, backend, std::move(end)); },
       MakeAttemptStream(id, request, attempt));
 }
@@ -115,9 +115,9 @@
   AttemptMessage message;
   message.text.reserve(request.head.size() + request.body.size() + kTimeoutHeaderBytes);
   message.text.append(request.head).append("Request-Timeout-Ms: ");
-  message.timeout_at = message.text.size();
-  message.most_timeout_s = request.timeout_s;
-  message.permit = [this, id, attempt] {
+  message.timeout_offset = message.text.size();
+  message.max_timeout_s = request.timeout_s;
+  message.may_send = [this, id, attempt] {
     const InFlightRequest* current = Find(id);
     return current != nullptr && CheckAttempt(*current, attempt, SendCheck::kWriting) == SendVerdict::kSend;
   };
@@ -127,28 +127,28 @@
 
 AttemptStream RequestLifecycle::MakeAttemptStream(uint32_t id, const InFlightRequest& request, int attempt) {
   AttemptStream stream;
-  stream.begin = [this, id, attempt](const std::string& headers, std::optional<uint64_t> length) {
+  stream.on_begin = [this, id, attempt](const std::string& headers, std::optional<uint64_t> length) {
     return OnResponseStarted(id, attempt, headers, length);
   };
-  stream.piece = [this, connection = request.connection](const std::string& piece,
-                                                         std::function<void()> taken) {
-    server_.Put(connection, piece, std::move(taken));
+  stream.on_piece = [this, connection = request.connection](const std::string& piece,
+                                                            std::function<void()> on_consumed) {
+    server_.SendPiece(connection, piece, std::move(on_consumed));
   };
   if (request.body_streamed) {
-    stream.more = [this, id](std::function<void(std::string, bool)> deliver) {
+    stream.request_more = [this, id](std::function<void(std::string, bool)> deliver) {
       PullUpload(id, std::move(deliver));
     };
   }
   return stream;
 }
 
-// Counts and logs an attempt that may not be sent, and ends the connection of a client that has gone.
+// Counts and logs an attempt that must not be sent, and closes the connection of a client that has gone.
 SendVerdict RequestLifecycle::CheckAttempt(const InFlightRequest& request, int attempt, SendCheck when) {
   const policy::Settings& settings = request.config->settings;
   SendFacts facts;
   facts.idempotency = request.idempotency;
   facts.answered = request.answered || request.streaming_attempt.has_value();
-  facts.client_present = server_.ClientPresent(request.connection);
+  facts.client_connected = server_.IsClientConnected(request.connection);
   facts.body_buffered = !request.body_discarded;
   facts.hedging_allowed = settings.hedging_allowed;
   for (size_t i = 0; i < request.attempts.size(); ++i)
@@ -158,21 +158,22 @@
   facts.now = Clock::now();
   facts.deadline = request.deadline;
   SendVerdict verdict = CheckSend(facts);
-  log_.Note(request.request_id, when == SendCheck::kDecided ? "attempt" : "write", "attempt=%d verdict=%s",
-            attempt, Name(verdict));
+  log_.Log(request.request_id, when == SendCheck::kDecided ? "attempt" : "write", "attempt=%d verdict=%s",
+           attempt, Name(verdict));
   if (verdict == SendVerdict::kSend) return verdict;
   metrics_.held_back.Add(verdict);
-  if (verdict == SendVerdict::kUnsafeRepeat || verdict == SendVerdict::kOtherOut) {
-    metrics_.invariants.Violated(Invariant::kSafeRepeat, "request=" + request.request_id + " attempt=" +
-                                                             std::to_string(attempt) + " " + Name(verdict));
+  if (verdict == SendVerdict::kUnsafeRepeat || verdict == SendVerdict::kOtherInFlight) {
+    metrics_.invariants.RecordViolation(
+        Invariant::kSafeRepeat,
+        "request=" + request.request_id + " attempt=" + std::to_string(attempt) + " " + Name(verdict));
   }
   // Posted, since the caller may be in the middle of the actions of an event.
   if (verdict == SendVerdict::kClientGone)
-    asio::post(io_, [this, connection = request.connection] { server_.ClientLeft(connection); });
+    asio::post(io_, [this, connection = request.connection] { server_.CloseDisconnected(connection); });
   return verdict;
 }
 
-// From the first piece on the request can't be retried: what was sent is not buffered.
+// From the first piece on the request can't be retried, because the bytes that were sent are not buffered.
 void RequestLifecycle::PullUpload(uint32_t id, std::function<void(std::string bytes, bool last)> deliver) {
   InFlightRequest* request = Find(id);
   if (request == nullptr || request->answered) return;
@@ -187,7 +188,7 @@
   });
 }
 
-// The client's time begins with the last byte of its request.
+// The client's timeout counts from the last byte of its request.
 void RequestLifecycle::OnUploadEnd(uint32_t id) {
   InFlightRequest* request = Find(id);
   if (request == nullptr) return;
@@ -195,7 +196,7 @@
   timers_.Add(request->deadline, TimerKind::kResponseDeadline, id);
 }
 
-// A large response begins: from here on the request belongs to this attempt, however it ends.
+// A streamed response begins. From here on only this attempt can complete the request.
 bool RequestLifecycle::OnResponseStarted(uint32_t id, int attempt, const std::string& headers,
                                          std::optional<uint64_t> length) {
   InFlightRequest* request = Find(id);
@@ -214,9 +215,9 @@
   auto index = static_cast<size_t>(attempt);
   if (index >= request->attempts.size() || !request->attempts[index].in_flight) return;
   bool may_have_run = false;
-  // False: the attempt has ended by itself, and its own outcome is on the way.
+  // If false the attempt has already ended, and its own outcome will be reported.
   if (!pool_.Cancel(request->attempts[index].pool_attempt, &may_have_run)) return;
-  // An attempt that was not written completely has not run, whatever the request's effect.
+  // An attempt that was not written completely has not run, whatever the idempotency of the request.
   PostAttemptEnd(id, attempt, backend, may_have_run ? AttemptResult::kCancelled : AttemptResult::kNotSent);
 }
 
@@ -235,20 +236,20 @@
   ended.in_flight = false;
   ended.result = end.result;
   metrics_.attempts.Add(end.result);
-  log_.Note(request->request_id, "ended", "attempt=%d backend=%u result=%s took_s=%.4f", attempt, backend,
-            Name(end.result), end.took_s);
+  log_.Log(request->request_id, "ended", "attempt=%d backend=%u result=%s took_s=%.4f", attempt, backend,
+           Name(end.result), end.duration_s);
   reporting_id_ = id;
   if (policy::MayHaveRun(end.result)) request->may_have_run = true;
-  // The first good response goes to the client at once and ends the request: the client waits, the policy
-  // does not.
+  // The first good response is sent to the client before the outcome is reported to the policy, because the
+  // client is waiting for it.
   bool good = end.result == AttemptResult::kOk;
   bool ends_stream = end.streamed && request->streaming_attempt == attempt;
   if ((ends_stream || (good && !request->streaming_attempt)) && !request->answered) {
-    Answer answer;
-    answer.status = good ? kStatusOk : kStatusBadGateway;
-    answer.headers = std::move(end.headers);
-    answer.body = std::move(end.body);
-    Respond(id, std::move(answer));
+    ClientResponse response;
+    response.status = good ? kStatusOk : kStatusBadGateway;
+    response.headers = std::move(end.headers);
+    response.body = std::move(end.body);
+    Respond(id, std::move(response));
   }
   ReportOutcome(id, attempt, backend, end);
   on_attempt_end_();
@@ -259,11 +260,11 @@
   AttemptOutcome outcome;
   outcome.request_id = id;
   outcome.attempt_index = attempt;
-  outcome.duration_s = end.took_s;
+  outcome.duration_s = end.duration_s;
   outcome.result = end.result;
   outcome.request_finished = request.answered;
   outcome.backend_id = backend;
-  outcome.actual_units = end.true_units;
+  outcome.actual_units = end.actual_units;
   outcome.upload_s = end.upload_s;
   outcome.body_discarded = request.body_discarded;
   policy_.Dispatch([&](policy::Balancer& balancer, double now_s, policy::Actions* actions) {
@@ -276,32 +277,33 @@
 void RequestLifecycle::Reject(const policy::Action& action) {
   metrics_.refused.Add(action.reason);
   if (const InFlightRequest* request = Find(action.request_id)) {
-    log_.Note(request->request_id, "refused", "reason=%s stay_away_s=%.3f", Name(action.reason),
-              action.duration_s);
+    log_.Log(request->request_id, "refused", "reason=%s stay_away_s=%.3f", Name(action.reason),
+             action.duration_s);
   }
-  Answer answer;
-  answer.status = action.duration_s > 0 ? kStatusTooManyRequests : kStatusUnavailable;
-  answer.retry_after_s = action.duration_s;
-  Respond(action.request_id, std::move(answer));
+  ClientResponse response;
+  response.status = action.duration_s > 0 ? kStatusTooManyRequests : kStatusUnavailable;
+  response.retry_after_s = action.duration_s;
+  Respond(action.request_id, std::move(response));
 }
 
 void RequestLifecycle::Fail(uint32_t id) {
-  Answer answer;
-  answer.status = kStatusBadGateway;
-  Respond(id, std::move(answer));
+  ClientResponse response;
+  response.status = kStatusBadGateway;
+  Respond(id, std::move(response));
 }
 
-// The only response of the request. The request stays until the ends of its attempts are reported.
-void RequestLifecycle::Respond(uint32_t id, Answer answer) {
+// Sends the only response of the request. The request is kept until the ends of its attempts are reported.
+void RequestLifecycle::Respond(uint32_t id, ClientResponse response) {
   InFlightRequest* found = Find(id);
   if (found == nullptr || found->answered) return;
   InFlightRequest& request = *found;
   request.answered = true;
   double past_deadline_s = std::chrono::duration<double>(Clock::now() - request.deadline).count();
-  log_.Note(request.request_id, "answered", "status=%d past_deadline_s=%.4f", answer.status, past_deadline_s);
-  CountResponse(request, answer.status);
+  log_.Log(request.request_id, "answered", "status=%d past_deadline_s=%.4f", response.status,
+           past_deadline_s);
+  CountResponse(request, response.status);
   unanswered_by_connection_.erase(request.connection);
-  server_.Reply(request.connection, std::move(answer));
+  server_.Reply(request.connection, std::move(response));
   CancelRequest(id);
   EraseIfFinished(id);
 }
@@ -309,24 +311,24 @@
 void RequestLifecycle::CountResponse(const InFlightRequest& request, int status) {
   bool in_time = Clock::now() <= request.client_deadline + Seconds(kResponseGraceS);
   if (!request.streaming_attempt && !in_time)
-    metrics_.invariants.Violated(Invariant::kAnsweredInTime, "request=" + request.request_id);
+    metrics_.invariants.RecordViolation(Invariant::kAnsweredInTime, "request=" + request.request_id);
   Metrics::ClassCounts& count = metrics_.classes[request.class_name];
   bool shed = status == kStatusTooManyRequests || status == kStatusUnavailable;
   ++(status == kStatusOk ? count.ok : shed ? count.shed : count.errors);
 }
 
-// Of a request that is over nothing is sent any more: an attempt whose connection is not open yet is dropped,
-// even where the settings don't allow attempts to be cancelled.
+// Nothing more is sent for a request that is over: an attempt that is still connecting is cancelled, even if
+// the settings don't allow attempts to be cancelled.
 void RequestLifecycle::CancelRequest(uint32_t id) {
   const InFlightRequest& request = in_flight_.at(id);
   for (size_t i = 0; i < request.attempts.size(); ++i) {
     const InFlightAttempt& attempt = request.attempts[i];
-    if (!attempt.in_flight || !pool_.Withdraw(attempt.pool_attempt)) continue;
+    if (!attempt.in_flight || !pool_.CancelIfConnecting(attempt.pool_attempt)) continue;
     PostAttemptEnd(id, static_cast<int>(i), 0, AttemptResult::kNotSent);
   }
 }
 
-// Not while an outcome of the request is being reported.
+// Does nothing while an outcome of the request is being reported; ReportOutcome calls it again.
 void RequestLifecycle::EraseIfFinished(uint32_t id) {
   const InFlightRequest* request = Find(id);
   if (request == nullptr || reporting_id_ == id) return;
@@ -343,10 +345,10 @@
 void RequestLifecycle::FailWithTimeout(uint32_t id) {
   const InFlightRequest& request = in_flight_.at(id);
   bool without_effect = !request.may_have_run && !request.HasAttemptInFlight();
-  Answer answer;
-  answer.status = request.idempotency == Idempotency::kIdempotent || without_effect ? kStatusUnavailable
-                                                                                    : kStatusGatewayTimeout;
-  Respond(id, std::move(answer));
+  ClientResponse response;
+  response.status = request.idempotency == Idempotency::kIdempotent || without_effect ? kStatusUnavailable
+                                                                                      : kStatusGatewayTimeout;
+  Respond(id, std::move(response));
   ReportClientGone(id);
 }
 
@@ -363,11 +365,11 @@
   uint32_t id = it->second;
   unanswered_by_connection_.erase(it);
   InFlightRequest& request = in_flight_.at(id);
-  log_.Note(request.request_id, "closed", "connection=%llu reason=%s",
-            static_cast<unsigned long long>(connection), Name(reason));
+  log_.Log(request.request_id, "closed", "connection=%llu reason=%s",
+           static_cast<unsigned long long>(connection), Name(reason));
   if (!ClosedByClient(reason)) {
-    metrics_.invariants.Violated(Invariant::kAnsweredBeforeClose,
-                                 "request=" + request.request_id + " reason=" + Name(reason));
+    metrics_.invariants.RecordViolation(Invariant::kAnsweredBeforeClose,
+                                        "request=" + request.request_id + " reason=" + Name(reason));
   }
   request.answered = true;
   CancelRequest(id);
--- a/src/net/socket_io.h
+++ b/src/net/socket_io.h
@@ -1,6 +1,6 @@
-// Operations on non-blocking TCP sockets, shared by all connections of the gateway. They rely only on what
-// the system calls return: an interrupted call is repeated, and a short write is followed by another until
-// the kernel reports a full buffer.
+// Operations on non-blocking TCP sockets, shared by all connections of the gateway. They rely only on the
+// results of the system calls: an interrupted call is repeated, and a short write is followed by another
+// until the kernel reports a full buffer.
 #ifndef LEMONCHUTE_NET_SOCKET_IO_H_
 #define LEMONCHUTE_NET_SOCKET_IO_H_
 
@@ -16,9 +16,9 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-/// Whether socket, bind or connect has failed for lack of a resource of this machine and not because of the
-/// peer (socket(2), connect(2)). Such a failure may pass within moments.
-inline bool IsShortage(int error) {
+/// Whether socket, bind or connect failed because a local resource is exhausted and not because of the peer
+/// (socket(2), connect(2)). Such a failure may be over within moments.
+inline bool IsResourceShortage(int error) {
   switch (error) {
     case EADDRNOTAVAIL:
     case EAGAIN:
@@ -35,7 +35,7 @@
 
 /// Repeats `call(error)` while a signal interrupts it.
 template <typename Call>
-auto Uninterrupted(error_code& error, Call call) {
+auto RetryOnInterrupt(error_code& error, Call call) {
   for (;;) {
     error = {};
     auto result = call(error);
@@ -43,13 +43,13 @@
   }
 }
 
-/// Sends as many of `bytes` as the socket accepts now. A full socket buffer is no error.
+/// Sends as many of `bytes` as the socket accepts now. A full socket buffer is not an error.
 /// @return the number of bytes sent
 inline size_t SendAvailable(tcp::socket& socket, std::string_view bytes, error_code& error) {
   size_t sent = 0;
   error = {};
   while (sent < bytes.size() && !error) {
-    sent += Uninterrupted(error, [&](error_code& failed) {
+    sent += RetryOnInterrupt(error, [&](error_code& failed) {
       return socket.send(asio::buffer(bytes.data() + sent, bytes.size() - sent), 0, failed);
     });
   }
@@ -60,14 +60,14 @@
 /// Sends what the socket accepts at once, nearly always the whole message in one system call, and the rest as
 /// the buffer drains.
 ///
-/// The wait for a writable socket arms epoll anew each time. asio's own composed write takes a short write
-/// for a full buffer and waits for an edge, which never comes if the buffer was not full. No other event can
-/// occur between the last byte's send and `done`, since both happen in the same call.
+/// Each wait for a writable socket re-arms epoll. asio's own composed write takes a short write as a sign of
+/// a full buffer and waits for an edge, which never comes if the buffer was not full. No other event can
+/// occur between sending the last byte and `done`, since both happen in the same call.
 ///
 /// @param text must stay alive until `done` is called, and unchanged while `current()` is true
 /// @param from offset of the first byte to send
 /// @param done called once with the error, within this call or later; not called if `current()` is false
-/// @param current whether the write is still wanted; if not, nothing further is sent
+/// @param current returns whether the write is still wanted; if not, nothing further is sent
 template <typename Done, typename Current>
 void WriteWhileCurrent(tcp::socket& socket, const std::string& text, size_t from, Done done,
                        Current current) {
@@ -82,7 +82,7 @@
   });
 }
 
-/// Sends the whole of `text`, as WriteWhileCurrent that is always wanted.
+/// Sends the whole of `text`, like WriteWhileCurrent without a condition.
 template <typename Done>
 void WriteAll(tcp::socket& socket, const std::string& text, Done done) {
   WriteWhileCurrent(socket, text, 0, std::move(done), [] { return true; });
@@ -92,20 +92,20 @@
 /// @return 1 if there is one, otherwise 0 with `error` set: would_block, eof or a failure
 inline size_t PeekByte(tcp::socket& socket, error_code& error) {
   char byte;
-  return Uninterrupted(error, [&](error_code& failed) {
+  return RetryOnInterrupt(error, [&](error_code& failed) {
     return socket.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, failed);
   });
 }
 
 /// Whether the peer has closed an idle connection or sent unsolicited bytes.
-inline bool Stale(tcp::socket& socket) {
+inline bool IsStale(tcp::socket& socket) {
   error_code error;
   PeekByte(socket, error);
   return error != asio::error::would_block;
 }
 
 /// Makes the socket non-blocking and disables Nagle's algorithm.
-inline error_code Prepare(tcp::socket& socket) {
+inline error_code ConfigureSocket(tcp::socket& socket) {
   error_code error;
   socket.non_blocking(true, error);
   if (!error) socket.set_option(tcp::no_delay(true), error);
@@ -113,10 +113,10 @@
 }
 
 /// Opens and prepares a socket of the address's family.
-inline error_code Open(tcp::socket& socket, const tcp::endpoint& address) {
+inline error_code OpenSocket(tcp::socket& socket, const tcp::endpoint& address) {
   error_code error;
   socket.open(address.protocol(), error);
-  return error ? error : Prepare(socket);
+  return error ? error : ConfigureSocket(socket);
 }
 
 /// Closes the socket and ignores errors.
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -1,4 +1,5 @@
-// The gateway over loopback sockets: each trap that its code guards against, seen from outside.
+// Tests of the gateway process over loopback sockets: requests, retries, streaming, reload, admin endpoint
+// and upgrade.
 #include <atomic>
 #include <chrono>
 #include <memory>
@@ -12,21 +13,22 @@
 
 using namespace rig;  // NOLINT
 
-// A port where nothing listens.
-int DeadPort() {
-  return Server([](Wire&) {}).port();
+// A port on which nothing listens.
+int UnusedPort() {
+  return Server([](Connection&) {}).port();
 }
 
-TEST(Gateway, PassesRequestAndAnswerOnUnchangedAndKeepsConnections) {
-  Backend backend(
-      [](const Message& m, Wire&) { return Ok("echo:" + m.body, "X-Note: kept\r\nX-Cost-Units: 2\r\n"); });
-  Site site(json::array({Entry("s1", backend.port())}));
-  auto client = site.gateway->Connect();
-  EXPECT_EQ(Ask(*client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
-  Message answer = Ask(*client, Request("send-lead?a=b%20c", 1, 3000, "X-Own: 7\r\n", "the body"));
-  EXPECT_EQ(answer.status(), 200);
-  EXPECT_EQ(answer.body, "echo:the body");
-  EXPECT_EQ(answer.Header("X-Note"), "kept");
+TEST(Gateway, ForwardsRequestAndResponseUnchangedAndReusesConnections) {
+  Backend backend([](const Message& m, Connection&) {
+    return OkResponse("echo:" + m.body, "X-Note: kept\r\nX-Cost-Units: 2\r\n");
+  });
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+  auto client = fixture.gateway->Connect();
+  EXPECT_EQ(SendRequest(*client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
+  Message response = SendRequest(*client, Request("send-lead?a=b%20c", 1, 3000, "X-Own: 7\r\n", "the body"));
+  EXPECT_EQ(response.status(), 200);
+  EXPECT_EQ(response.body, "echo:the body");
+  EXPECT_EQ(response.Header("X-Note"), "kept");
   Message sent = backend.request(0);
   EXPECT_EQ(sent.head.substr(0, sent.head.find("\r\n")), "POST /send-lead?a=b%20c HTTP/1.1");
   EXPECT_EQ(sent.body, "the body");
@@ -34,145 +36,152 @@
   EXPECT_FALSE(sent.Header("Request-Id").empty());
   EXPECT_EQ(sent.head.find("Request-Timeout-Ms"), sent.head.rfind("Request-Timeout-Ms"));
   EXPECT_LE(std::atoi(sent.Header("Request-Timeout-Ms").c_str()), 3000);
-  // A connection rests for 10 ms from its answer on, which is past once the answer has been here for longer.
-  auto rest = [] { std::this_thread::sleep_for(std::chrono::milliseconds(30)); };
-  rest();
-  EXPECT_EQ(Ask(*client, Request("save-scenario", 1, 3000, "", "b")).status(), 200);
+  // A backend connection is not reused until 10 ms after its response. That time has passed once the response
+  // has been here for longer.
+  auto wait_for_reuse = [] { std::this_thread::sleep_for(std::chrono::milliseconds(30)); };
+  wait_for_reuse();
+  EXPECT_EQ(SendRequest(*client, Request("save-scenario", 1, 3000, "", "b")).status(), 200);
   EXPECT_FALSE(backend.request(1).Header("Idempotency-Key").empty());
-  rest();
-  EXPECT_EQ(Ask(*client, Request("quote")).status(), 200);
+  wait_for_reuse();
+  EXPECT_EQ(SendRequest(*client, Request("quote")).status(), 200);
   EXPECT_EQ(backend.connections(), 1);
 }
 
-TEST(Gateway, AnswersBadInputItselfAndGoesOn) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}));
-  auto without = [](std::string request, const std::string& header) {
+TEST(Gateway, RejectsInvalidRequestsWithoutContactingABackend) {
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+  auto without_header = [](std::string request, const std::string& header) {
     size_t at = request.find(header + ":");
     return request.erase(at, request.find("\r\n", at) + 2 - at);
   };
-  auto with = [](std::string request, const std::string& from, const std::string& to) {
+  auto with_replaced = [](std::string request, const std::string& from, const std::string& to) {
     return request.replace(request.find(from), from.size(), to);
   };
-  std::string good = Request("quote"), ready = "GET /-/ready HTTP/1.1\r\n";
+  std::string valid = Request("quote"), readiness_head = "GET /-/ready HTTP/1.1\r\n";
   std::vector<std::pair<std::string, int>> cases = {
       {"no http at all\r\n\r\n", 400},
       {"GET /quote HTTP/9.9\r\n\r\n", 400},
-      {without(good, "Request-Id"), 400},
-      {without(good, "X-Tier"), 400},
-      {without(good, "Cookie"), 400},
-      {without(good, "Request-Timeout-Ms"), 400},
-      {without(good, "X-Call-Terms"), 400},
-      {without(Request("save-scenario"), "Idempotency-Key"), 400},
-      {with(good, "business", "unheard-of"), 400},
-      {with(good, "/quote", "/unheard-of"), 400},
-      {with(good, "client=00000000b4d65521", "client=xyz"), 400},
-      {with(good, "Ms: 3000", "Ms: soon"), 400},
-      {with(good, "Ms: 3000", "Ms: -5"), 400},
-      {with(good, "units=1", "units=nan"), 400},
-      {with(good, "units=1", "units=-1"), 400},
-      {with(good, "spread=1", "spread=0"), 400},
-      {with(good, "GET", "POST"), 405},
+      {without_header(valid, "Request-Id"), 400},
+      {without_header(valid, "X-Tier"), 400},
+      {without_header(valid, "Cookie"), 400},
+      {without_header(valid, "Request-Timeout-Ms"), 400},
+      {without_header(valid, "X-Call-Terms"), 400},
+      {without_header(Request("save-scenario"), "Idempotency-Key"), 400},
+      {with_replaced(valid, "business", "unheard-of"), 400},
+      {with_replaced(valid, "/quote", "/unheard-of"), 400},
+      {with_replaced(valid, "client=00000000b4d65521", "client=xyz"), 400},
+      {with_replaced(valid, "Ms: 3000", "Ms: soon"), 400},
+      {with_replaced(valid, "Ms: 3000", "Ms: -5"), 400},
+      {with_replaced(valid, "units=1", "units=nan"), 400},
+      {with_replaced(valid, "units=1", "units=-1"), 400},
+      {with_replaced(valid, "spread=1", "spread=0"), 400},
+      {with_replaced(valid, "GET", "POST"), 405},
       {"GET /-/other HTTP/1.1\r\nHost: x\r\n\r\n", 404},
       {Request("send-lead", 1, 3000, "Content-Length: 60000000\r\n"), 413},
-      {ready + "X-Large: " + std::string(40000, 'h') + "\r\n\r\n", 431},
-      {ready + "Content-Length: many\r\n\r\n", 400},
+      {readiness_head + "X-Large: " + std::string(40000, 'h') + "\r\n\r\n", 431},
+      {readiness_head + "Content-Length: many\r\n\r\n", 400},
   };
   for (const auto& [text, status] : cases) {
-    auto client = site.gateway->Connect();
-    EXPECT_EQ(Ask(*client, text).status(), status) << text.substr(0, 300);
+    auto client = fixture.gateway->Connect();
+    EXPECT_EQ(SendRequest(*client, text).status(), status) << text.substr(0, 300);
   }
   EXPECT_EQ(backend.requests.count(), 0);
-  auto client = site.gateway->Connect();
-  EXPECT_EQ(Ask(*client, without(good, "X-Tier")).status(), 400);
-  EXPECT_EQ(Ask(*client, good).status(), 200) << "the framing was sound, so the connection goes on";
+  auto client = fixture.gateway->Connect();
+  EXPECT_EQ(SendRequest(*client, without_header(valid, "X-Tier")).status(), 400);
+  EXPECT_EQ(SendRequest(*client, valid).status(), 200)
+      << "the framing was valid, so the connection stays open";
 }
 
-// Who connects and never comes to a request is answered or closed soon; a client between requests is kept.
-// Each odd form of a time-out has one meaning, and none is a budget without end.
-TEST(Gateway, ReadsATimeOutInOneWayAndBoundsItByTheClass) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}));
-  auto client = site.gateway->Connect();
+// Malformed timeouts are rejected, and no value leads to an unlimited one.
+TEST(Gateway, ParsesTheTimeoutStrictlyAndLimitsItByTheClass) {
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+  auto client = fixture.gateway->Connect();
   const std::string field = "Request-Timeout-Ms: ";
-  auto with = [&](const std::string& lines) {
-    std::string request = Fresh("quote");
+  auto status_with = [&](const std::string& lines) {
+    std::string request = RequestOfNewCustomer("quote");
     size_t at = request.find(field);
-    return Ask(*client, request.replace(at, request.find("\r\n", at) + 2 - at, lines)).status();
+    return SendRequest(*client, request.replace(at, request.find("\r\n", at) + 2 - at, lines)).status();
   };
   for (const char* value :
        {"", "0", "000", "-1", "+5", "1.5", "1e3", "0x10", "ten", "10 20", "10,20", "10ms"}) {
-    EXPECT_EQ(with(field + value + "\r\n"), 400) << value;
+    EXPECT_EQ(status_with(field + value + "\r\n"), 400) << value;
   }
-  EXPECT_EQ(with(""), 400) << "absent";
-  EXPECT_EQ(with(field + "2000\r\n" + field + "2000\r\n"), 400) << "repeated";
+  EXPECT_EQ(status_with(""), 400) << "absent";
+  EXPECT_EQ(status_with(field + "2000\r\n" + field + "2000\r\n"), 400) << "repeated";
   EXPECT_EQ(backend.requests.count(), 0);
-  size_t asked = 0;
-  auto told = [&](const std::string& value) {
-    EXPECT_EQ(with(field + value + "\r\n"), 200) << value;
-    return std::atoi(backend.request(asked++).Header("Request-Timeout-Ms").c_str());
+  size_t served = 0;
+  auto announced_ms = [&](const std::string& value) {
+    EXPECT_EQ(status_with(field + value + "\r\n"), 200) << value;
+    return std::atoi(backend.request(served++).Header("Request-Timeout-Ms").c_str());
   };
   for (const char* value : {"3000", "3001", "600000", "18446744073709551615", "99999999999999999999999999"}) {
-    int ms = told(value);
+    int ms = announced_ms(value);
     EXPECT_LE(ms, 3000) << value;
     EXPECT_GT(ms, 2500) << value;
   }
-  EXPECT_LE(told("  0900  "), 900);
+  EXPECT_LE(announced_ms("  0900  "), 900);
 }
 
-TEST(Gateway, EndsPeersThatNeverAskSoon) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}));
-  auto client = site.gateway->Connect();
-  EXPECT_EQ(Ask(*client, Request("quote")).status(), 200);
-  std::string part = Request("send-lead", 1, 3000, "", "the body");
-  std::vector<std::unique_ptr<Wire>> peers;
-  auto begun = std::chrono::steady_clock::now();
-  for (std::string sent :
-       {std::string(), std::string("no http"), part.substr(0, 60), part.substr(0, part.size() - 1)}) {
-    peers.push_back(site.gateway->Connect());
-    peers.back()->Write(sent);
+// A client that connects and never completes a request gets an error or is closed soon. A client that is idle
+// between requests stays connected.
+TEST(Gateway, ClosesClientsThatNeverCompleteARequest) {
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+  auto client = fixture.gateway->Connect();
+  EXPECT_EQ(SendRequest(*client, Request("quote")).status(), 200);
+  std::string full_request = Request("send-lead", 1, 3000, "", "the body");
+  std::vector<std::unique_ptr<Connection>> silent_clients;
+  auto started_at = std::chrono::steady_clock::now();
+  for (std::string sent : {std::string(), std::string("no http"), full_request.substr(0, 60),
+                           full_request.substr(0, full_request.size() - 1)}) {
+    silent_clients.push_back(fixture.gateway->Connect());
+    silent_clients.back()->Write(sent);
   }
-  for (auto& peer : peers) EXPECT_TRUE(peer->Ended());
-  EXPECT_LT(std::chrono::steady_clock::now() - begun, std::chrono::seconds(6)) << "2.5 s, on a busy machine";
+  for (auto& silent_client : silent_clients) EXPECT_TRUE(silent_client->WaitForClose());
+  EXPECT_LT(std::chrono::steady_clock::now() - started_at, std::chrono::seconds(6))
+      << "the limit is 2.5 s; the rest allows for a busy machine";
   EXPECT_EQ(backend.requests.count(), 1);
-  EXPECT_TRUE(client->Open());
-  EXPECT_EQ(Ask(*client, Request("quote")).status(), 200);
-  auto large = site.gateway->Connect();
+  EXPECT_TRUE(client->IsOpen());
+  EXPECT_EQ(SendRequest(*client, Request("quote")).status(), 200);
+  auto large = fixture.gateway->Connect();
   large->Write("POST /send-lead HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n" + std::string(2000, 'b'));
-  EXPECT_EQ(large->Read().status(), 413) << "at its header, also with the first of its bytes";
+  EXPECT_EQ(large->Read().status(), 413) << "rejected at the header, even if body bytes arrive with it";
 }
 
-// What a client may also write, and means the same.
-TEST(Gateway, TakesEveryLegalSpelling) {
-  Backend backend([](const Message& m, Wire&) { return Ok(m.body); });
-  Site site(json::array({Entry("s1", backend.port())}));
-  auto client = site.gateway->Connect();
-  auto with = [](std::string request, const std::string& from, const std::string& to) {
+// Different spellings of a request that the HTTP specifications define as equivalent.
+TEST(Gateway, AcceptsEquivalentRequestSyntax) {
+  Backend backend([](const Message& m, Connection&) { return OkResponse(m.body); });
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+  auto client = fixture.gateway->Connect();
+  auto with_replaced = [](std::string request, const std::string& from, const std::string& to) {
     return request.replace(request.find(from), from.size(), to);
   };
-  std::string good = Request("quote");
+  std::string valid = Request("quote");
   for (const std::string& text :
-       {with(good, "GET /quote", "GET HTTP://app.svc:80/quote?a=1"), with(good, "GET /quote", "GET /qu%6Fte"),
-        with(good, "Cookie: client", "cOOKIE:\tother=1; x=y\r\nCookie:client"),
-        with(good, "00000000b4d65521", "\"b4d65521\""),
-        with(good, "units=1,spread=1", "units = 1 , x=2\r\nX-CALL-TERMS:spread=1"), "\r\n\r\n" + good}) {
-    EXPECT_EQ(Ask(*client, text).status(), 200) << text;
+       {with_replaced(valid, "GET /quote", "GET HTTP://app.svc:80/quote?a=1"),
+        with_replaced(valid, "GET /quote", "GET /qu%6Fte"),
+        with_replaced(valid, "Cookie: client", "cOOKIE:\tother=1; x=y\r\nCookie:client"),
+        with_replaced(valid, "00000000b4d65521", "\"b4d65521\""),
+        with_replaced(valid, "units=1,spread=1", "units = 1 , x=2\r\nX-CALL-TERMS:spread=1"),
+        "\r\n\r\n" + valid}) {
+    EXPECT_EQ(SendRequest(*client, text).status(), 200) << text;
   }
   EXPECT_EQ(backend.request(0).head.substr(0, 24), "GET /quote?a=1 HTTP/1.1\r");
-  EXPECT_EQ(backend.request(1).head.substr(0, 12), "GET /qu%6Fte") << "unaltered";
-  std::string old = with(Request("quote", 1, 3000, "Connection: Keep-Alive\r\n"), "HTTP/1.1", "HTTP/1.0");
-  EXPECT_EQ(Ask(*client, old).Header("Connection"), "keep-alive");
+  EXPECT_EQ(backend.request(1).head.substr(0, 12), "GET /qu%6Fte") << "forwarded unchanged";
+  std::string http10_request =
+      with_replaced(Request("quote", 1, 3000, "Connection: Keep-Alive\r\n"), "HTTP/1.1", "HTTP/1.0");
+  EXPECT_EQ(SendRequest(*client, http10_request).Header("Connection"), "keep-alive");
   client->Write(Request("send-lead", 1, 3000, "Transfer-Encoding: chunked\r\n") +
                 "3;a=\"b\"\r\nabc\r\n02\r\nde\r\n000\r\nX-End: 1\r\n\r\n");
   EXPECT_EQ(client->Read().body, "abcde");
 }
 
-// Bytes that come before the answer to the request before them are the next request.
-TEST(Gateway, LosesNoPipelinedBytes) {
-  Backend backend([](const Message& m, Wire&) { return Ok(m.body); });
-  Site site(json::array({Entry("s1", backend.port())}));
-  auto client = site.gateway->Connect();
+// Bytes that arrive before the response to the previous request belong to the next request.
+TEST(Gateway, ServesPipelinedRequestsInOrder) {
+  Backend backend([](const Message& m, Connection&) { return OkResponse(m.body); });
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+  auto client = fixture.gateway->Connect();
   std::string third = Request("send-lead", 1, 3000, "", "three");
   client->Write(Request("send-lead", 1, 3000, "", "one") + Request("send-lead", 1, 3000, "", "two") +
                 third.substr(0, 40));
@@ -182,786 +191,833 @@
   EXPECT_EQ(client->Read().body, "three");
 }
 
-TEST(Gateway, NeverSendsAnUnsafeRequestAgainOnceItMayHaveRun) {
-  std::vector<std::string> ends = {"", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
-                                   "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
-                                   "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", "garbage\r\n\r\n"};
-  for (const std::string& end : ends) {
-    Backend backend([end](const Message&, Wire& wire) {
-      wire.Write(end);
+TEST(Gateway, DoesNotRetryANonIdempotentRequestThatMayHaveRun) {
+  std::vector<std::string> broken_responses = {
+      "", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
+      "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", "garbage\r\n\r\n"};
+  for (const std::string& broken_response : broken_responses) {
+    Backend backend([broken_response](const Message&, Connection& connection) {
+      connection.Write(broken_response);
       return std::string();
     });
-    Site site(json::array({Entry("s1", backend.port())}));
-    auto client = site.gateway->Connect();
-    EXPECT_EQ(Ask(*client, Request("send-lead")).status(), 502) << end;
-    EXPECT_EQ(backend.requests.count(), 1) << end;
+    GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+    auto client = fixture.gateway->Connect();
+    EXPECT_EQ(SendRequest(*client, Request("send-lead")).status(), 502) << broken_response;
+    EXPECT_EQ(backend.requests.count(), 1) << broken_response;
   }
 }
 
-// An answer that says it is longer than any may be is given up at its header, also where the first bytes of
-// its body come along: nothing of the stated size is kept room for or read.
-TEST(Gateway, GivesUpAnAnswerBeyondTheBodyLimitAtItsHeader) {
+// A response whose announced length exceeds the limit is abandoned at its header, even if the first bytes of
+// the body arrive with it: no memory of the announced size is allocated, and the body is not read.
+TEST(Gateway, AbandonsAResponseBeyondTheBodyLimitAtItsHeader) {
   for (std::string head :
        {"Content-Length: 3000000000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\nb2d05e00\r\n"}) {
-    Event given_up;
-    Backend backend([&](const Message&, Wire& wire) {
-      wire.Write("HTTP/1.1 200 OK\r\n" + head + "the first bytes of a body");
-      if (wire.Ended()) given_up.Add();
+    Event connection_closed;
+    Backend backend([&](const Message&, Connection& connection) {
+      connection.Write("HTTP/1.1 200 OK\r\n" + head + "the first bytes of a body");
+      if (connection.WaitForClose()) connection_closed.Notify();
       return std::string();
     });
-    Site site(json::array({Entry("s1", backend.port())}));
-    auto client = site.gateway->Connect();
+    GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+    auto client = fixture.gateway->Connect();
     client->Write(Request("send-lead", 1, 600000));
-    EXPECT_TRUE(given_up.Wait()) << head;
+    EXPECT_TRUE(connection_closed.Wait()) << head;
     EXPECT_EQ(client->Read().status(), 502) << head;
   }
 }
 
-TEST(Gateway, TakesOnlyNotStartedAsTurnedAway) {
-  Backend full(Says("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"));
-  Site site(json::array({Entry("s1", full.port())}));
-  auto client = site.gateway->Connect();
-  EXPECT_EQ(Ask(*client, Request("send-lead")).status(), 503) << "it never ran, so asking again is harmless";
+TEST(Gateway, ReturnsUnavailableIfTheBackendDidNotStartTheRequest) {
+  Backend full(RespondsWith("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"));
+  GatewayFixture fixture(json::array({EndpointEntry("s1", full.port())}));
+  auto client = fixture.gateway->Connect();
+  EXPECT_EQ(SendRequest(*client, Request("send-lead")).status(), 503)
+      << "it did not run, so the client may safely retry";
 }
 
-// What could not be connected to has not run, so another backend may get even an unsafe request.
-TEST(Gateway, TriesElsewhereWhatCouldNotConnect) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("dead", DeadPort()), Entry("live", backend.port())}));
-  auto client = site.gateway->Connect();
-  for (int i = 0; i < 6; ++i) EXPECT_EQ(Ask(*client, Request("send-lead")).status(), 200);
+// After a failed connect the request has not run, so even a non-idempotent one may go to another backend.
+TEST(Gateway, RetriesOnAnotherBackendAfterAFailedConnect) {
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture fixture(
+      json::array({EndpointEntry("dead", UnusedPort()), EndpointEntry("live", backend.port())}));
+  auto client = fixture.gateway->Connect();
+  for (int i = 0; i < 6; ++i) EXPECT_EQ(SendRequest(*client, Request("send-lead")).status(), 200);
   EXPECT_EQ(backend.requests.count(), 6);
 }
 
-// A kept connection that the backend has ended, or written to unasked, takes no further request.
-TEST(Gateway, ReusesNoStaleConnection) {
+// An idle connection that the backend has closed, or on which it has sent unsolicited bytes, is not reused.
+TEST(Gateway, DoesNotReuseAStaleConnection) {
   for (std::string after : {"close", "bytes", "header"}) {
     Event closed;
-    Backend backend([&](const Message&, Wire& wire) {
-      if (after == "header") return Ok("x", "Connection: close\r\n");
-      wire.Write(Ok("x") + (after == "bytes" ? "unasked" : ""));
+    Backend backend([&](const Message&, Connection& connection) {
+      if (after == "header") return OkResponse("x", "Connection: close\r\n");
+      connection.Write(OkResponse("x") + (after == "bytes" ? "unasked" : ""));
       if (after == "bytes") {
-        if (wire.Ended()) closed.Add();
+        if (connection.WaitForClose()) closed.Notify();
       }
       return std::string();
     });
-    Site site(json::array({Entry("s1", backend.port())}));
-    auto client = site.gateway->Connect();
-    EXPECT_EQ(Ask(*client, Request("send-lead")).status(), 200) << after;
+    GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+    auto client = fixture.gateway->Connect();
+    EXPECT_EQ(SendRequest(*client, Request("send-lead")).status(), 200) << after;
     if (after == "bytes") {
       EXPECT_TRUE(closed.Wait());
     }
-    // The end may cross the next request; from the one after it on the connection is known to be over.
-    if (after == "close") Ask(*client, Request("quote"));
-    EXPECT_EQ(Ask(*client, Request("send-lead")).status(), 200) << after;
+    // The close may cross the next request. By the request after that it is known.
+    if (after == "close") SendRequest(*client, Request("quote"));
+    EXPECT_EQ(SendRequest(*client, Request("send-lead")).status(), 200) << after;
   }
 }
 
-TEST(Gateway, ClosesKeptConnectionsBeforeTheIdleLimit) {
+TEST(Gateway, ClosesIdleBackendConnectionsBeforeTheIdleLimit) {
   Event closed;
-  Backend backend([&](const Message&, Wire& wire) {
-    wire.Write(Ok("x"));
-    if (wire.Ended()) closed.Add();
+  Backend backend([&](const Message&, Connection& connection) {
+    connection.Write(OkResponse("x"));
+    if (connection.WaitForClose()) closed.Notify();
     return std::string();
   });
-  json config = Config(0, 0);
+  json config = DefaultConfig(0, 0);
   config["settings"]["limits"]["conn-idle-s"] = 0.5;
-  Site site(json::array({Entry("s1", backend.port())}), config);
-  EXPECT_EQ(Ask(*site.gateway->Connect(), Request("quote")).status(), 200);
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}), config);
+  EXPECT_EQ(SendRequest(*fixture.gateway->Connect(), Request("quote")).status(), 200);
   EXPECT_TRUE(closed.Wait());
 }
 
-TEST(Gateway, GivesUpASilentBackendInTimeAndClosesItsConnection) {
-  Event given_up;
-  Backend backend(Hangs(&given_up));
-  Site site(json::array({Entry("s1", backend.port())}));
-  auto client = site.gateway->Connect();
-  EXPECT_EQ(Ask(*client, Request("send-lead", 1, 400)).status(), 502);
-  EXPECT_TRUE(given_up.Wait());
+TEST(Gateway, TimesOutASilentBackendAndClosesItsConnection) {
+  Event connection_closed;
+  Backend backend(HangsUntilClosed(&connection_closed));
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+  auto client = fixture.gateway->Connect();
+  EXPECT_EQ(SendRequest(*client, Request("send-lead", 1, 400)).status(), 502);
+  EXPECT_TRUE(connection_closed.Wait());
   EXPECT_EQ(backend.requests.count(), 1);
 }
 
-// What is given up is closed before another attempt goes out: never two at once.
+// An abandoned attempt is closed before the next one is sent, so that there are never two at once.
 TEST(Gateway, ClosesAnAttemptBeforeItSendsTheNext) {
-  Event given_up;
-  std::atomic<int> seen{0};
-  auto answer = [&](const Message&, Wire& wire) {
-    if (seen++ == 0) {
-      if (wire.Ended()) given_up.Add();
+  Event connection_closed;
+  std::atomic<int> requests_seen{0};
+  auto respond = [&](const Message&, Connection& connection) {
+    if (requests_seen++ == 0) {
+      if (connection.WaitForClose()) connection_closed.Notify();
       return std::string();
     }
-    return given_up.Wait() ? Ok("second") : std::string();
+    return connection_closed.Wait() ? OkResponse("second") : std::string();
   };
-  Backend one(answer), two(answer);
-  Site site(json::array({Entry("s1", one.port()), Entry("s2", two.port())}));
-  EXPECT_EQ(Ask(*site.gateway->Connect(), Request("quote")).body, "second");
+  Backend one(respond), two(respond);
+  GatewayFixture fixture(json::array({EndpointEntry("s1", one.port()), EndpointEntry("s2", two.port())}));
+  EXPECT_EQ(SendRequest(*fixture.gateway->Connect(), Request("quote")).body, "second");
 }
 
-// A connection that comes up after its attempt was given up carries nothing.
-TEST(Gateway, SendsNothingOnALateConnection) {
-  LateListener backend;
+// Nothing is sent on a connection that opens after its attempt was abandoned.
+TEST(Gateway, SendsNothingOnAConnectionThatOpensLate) {
+  BlockedListener backend;
   {
-    Site site(json::array({Entry("s1", backend.port())}));
-    auto client = site.gateway->Connect();
-    EXPECT_EQ(Ask(*client, Request("send-lead")).status(), 503);
+    GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+    auto client = fixture.gateway->Connect();
+    EXPECT_EQ(SendRequest(*client, Request("send-lead")).status(), 503);
   }
-  // The gateway has ended, so all that it ever sent is here.
-  backend.Free();
-  EXPECT_EQ(backend.Sent(), "");
+  // The gateway has exited, so everything that it ever sent has arrived.
+  backend.Unblock();
+  EXPECT_EQ(backend.ReceivedBytes(), "");
 }
 
-TEST(Gateway, CancelsWhatIsOutWhenItsClientHasGone) {
-  Event given_up;
-  Backend backend(Hangs(&given_up));
-  Site site(json::array({Entry("s1", backend.port())}));
-  auto client = site.gateway->Connect();
+TEST(Gateway, CancelsTheAttemptWhenItsClientDisconnects) {
+  Event connection_closed;
+  Backend backend(HangsUntilClosed(&connection_closed));
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+  auto client = fixture.gateway->Connect();
   client->Write(Request("send-lead", 1, 600000));
   EXPECT_TRUE(backend.requests.Wait());
   client->Close();
-  EXPECT_TRUE(given_up.Wait());
+  EXPECT_TRUE(connection_closed.Wait());
 }
 
-// The module's refusal comes at once, with the time after which to come back.
-TEST(Gateway, RefusesBeyondTheQuotaAtOnceWithRetryAfter) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}));
-  auto client = site.gateway->Connect();
+// Requests over quota are rejected immediately, with the time after which to retry.
+TEST(Gateway, RejectsRequestsOverQuotaWithRetryAfter) {
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+  auto client = fixture.gateway->Connect();
   Message last;
   for (int i = 0; i < 10 && last.status() != 429; ++i) {
     std::string request = Request("quote", 1, 600000);
     request.replace(request.find("X-Tier: business"), 16, "X-Tier: small");
-    last = Ask(*client, request);
+    last = SendRequest(*client, request);
   }
   EXPECT_EQ(last.status(), 429);
   EXPECT_GT(std::atof(last.Header("Retry-After").c_str()), 0);
 }
 
-// If the module says nothing the answer still comes in time, and promises harmlessness only where that is
-// known.
-TEST(Gateway, AnswersInTimeForAModuleThatIsSilent) {
-  Event given_up;
-  Backend backend(Hangs(&given_up));
-  Site site(json::array({Entry("s1", backend.port())}), {}, LEMONCHUTE_SILENT);
-  EXPECT_EQ(Ask(*site.gateway->Connect(), Request("quote", 1, 200)).status(), 503);
-  EXPECT_EQ(Ask(*site.gateway->Connect(), Request("send-lead", 1, 200)).status(), 503);
-  EXPECT_EQ(Ask(*site.gateway->Connect(), Request("save-scenario", 1, 200)).status(), 504);
-  EXPECT_TRUE(given_up.Wait()) << "what is out at the answer is given up";
+// If the policy never decides, the gateway still responds in time. The status is 503, which means that a
+// retry is safe, only if that is known.
+TEST(Gateway, RespondsInTimeIfThePolicyNeverDecides) {
+  Event connection_closed;
+  Backend backend(HangsUntilClosed(&connection_closed));
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}), {}, LEMONCHUTE_SILENT);
+  EXPECT_EQ(SendRequest(*fixture.gateway->Connect(), Request("quote", 1, 200)).status(), 503);
+  EXPECT_EQ(SendRequest(*fixture.gateway->Connect(), Request("send-lead", 1, 200)).status(), 503);
+  EXPECT_EQ(SendRequest(*fixture.gateway->Connect(), Request("save-scenario", 1, 200)).status(), 504);
+  EXPECT_TRUE(connection_closed.Wait()) << "the attempt in flight is abandoned with the response";
 }
 
-TEST(Gateway, FollowsDiscovery) {
-  Backend one(Says(Ok("one"))), two(Says(Ok("two")));
-  Site site(json::array({Entry("a", one.port())}));
-  auto client = site.gateway->Connect();
-  auto told = [&] {
-    EXPECT_TRUE(site.discovery.Told());
-    return Ask(*client, Request("quote")).body;
+TEST(Gateway, AppliesEndpointListsFromDiscovery) {
+  Backend one(RespondsWith(OkResponse("one"))), two(RespondsWith(OkResponse("two")));
+  GatewayFixture fixture(json::array({EndpointEntry("a", one.port())}));
+  auto client = fixture.gateway->Connect();
+  auto served_by = [&] {
+    EXPECT_TRUE(fixture.discovery.AwaitListApplied());
+    return SendRequest(*client, Request("quote")).body;
   };
-  EXPECT_EQ(told(), "one");
-  site.discovery.Set(json::array({Entry("b", two.port())}));
-  EXPECT_EQ(told(), "two") << "what a whole list does not name is gone";
-  site.discovery.Set(json::array({Entry("b", one.port())}));
-  EXPECT_EQ(told(), "one") << "an address may change";
-  site.discovery.Set(json::array({Entry("a", two.port()), Entry("b", one.port(), "leaving")}), false,
-                     json::array({Entry("a", two.port()), Entry("b", one.port(), "leaving")}));
-  EXPECT_EQ(told(), "two") << "nothing new to one that leaves";
-  site.discovery.Set(json::array({Entry("a", two.port())}), true, {}, "no list");
-  EXPECT_EQ(told(), "two") << "garbage changes nothing, and is asked for again";
+  EXPECT_EQ(served_by(), "one");
+  fixture.discovery.SetList(json::array({EndpointEntry("b", two.port())}));
+  EXPECT_EQ(served_by(), "two") << "a backend that a full list does not contain is removed";
+  fixture.discovery.SetList(json::array({EndpointEntry("b", one.port())}));
+  EXPECT_EQ(served_by(), "one") << "the address of a backend may change";
+  fixture.discovery.SetList(
+      json::array({EndpointEntry("a", two.port()), EndpointEntry("b", one.port(), "leaving")}), false,
+      json::array({EndpointEntry("a", two.port()), EndpointEntry("b", one.port(), "leaving")}));
+  EXPECT_EQ(served_by(), "two") << "a backend that is leaving gets no new requests";
+  fixture.discovery.SetList(json::array({EndpointEntry("a", two.port())}), true, {}, "no list");
+  EXPECT_EQ(served_by(), "two") << "a malformed list changes nothing and is requested again";
 }
 
-// SIGHUP ends nothing: what is held goes on, and discovery and the counter are those that the file names now.
-TEST(Gateway, GoesToTheAddressesOfTheReplacedConfigurationOnSighup) {
-  Event held, go;
-  Backend one([&](const Message&, Wire&) { return held.Add(), go.Wait(), Ok("one"); });
-  Backend two(Says(Ok("two")));
-  Site site(json::array({Entry("a", one.port())}));
-  Discovery discovery;  // tells of a later version, as a list of one version has one content
-  discovery.Set(json::array({Entry("a", one.port())}));
-  discovery.Set(json::array({Entry("b", two.port())}));
-  Counter counter([](const std::string&, double) { return Bulk("0"); });
-  auto early = site.gateway->Connect(), late = site.gateway->Connect();
+// On SIGHUP requests in flight continue, and the gateway switches to the discovery and counter addresses of
+// the new file.
+TEST(Gateway, UsesTheNewDiscoveryAndCounterAddressesAfterSighup) {
+  Event request_held, release;
+  Backend one(
+      [&](const Message&, Connection&) { return request_held.Notify(), release.Wait(), OkResponse("one"); });
+  Backend two(RespondsWith(OkResponse("two")));
+  GatewayFixture fixture(json::array({EndpointEntry("a", one.port())}));
+  Discovery discovery;  // set twice for a higher index, since one index stands for one content
+  discovery.SetList(json::array({EndpointEntry("a", one.port())}));
+  discovery.SetList(json::array({EndpointEntry("b", two.port())}));
+  Counter counter([](const std::string&, double) { return BulkString("0"); });
+  auto early = fixture.gateway->Connect(), late = fixture.gateway->Connect();
   early->Write(Request("send-lead"));
-  ASSERT_TRUE(held.Wait());
-  site.gateway->Reconfigure(Config(discovery.port(), counter.port()));
-  ASSERT_TRUE(discovery.Told());
-  std::string another = Request("quote", 2);  // of a customer not seen before, which is asked about at once
-  EXPECT_EQ(Ask(*late, another.replace(another.find("b4d65521"), 8, "b4d65522")).body, "two");
+  ASSERT_TRUE(request_held.Wait());
+  fixture.gateway->Reconfigure(DefaultConfig(discovery.port(), counter.port()));
+  ASSERT_TRUE(discovery.AwaitListApplied());
+  std::string other_customer_request =
+      Request("quote", 2);  // of a new customer, for whom the counter is called immediately
+  EXPECT_EQ(SendRequest(
+                *late, other_customer_request.replace(other_customer_request.find("b4d65521"), 8, "b4d65522"))
+                .body,
+            "two");
   EXPECT_TRUE(counter.calls.Wait());
-  go.Add();
+  release.Notify();
   EXPECT_EQ(early->Read().body, "one");
-  site.gateway->Reconfigure({{"name", "nothing else"}});  // what cannot be read changes nothing
-  EXPECT_EQ(Ask(*late, Request("quote", 2)).body, "two");
+  fixture.gateway->Reconfigure({{"name", "nothing else"}});  // an invalid file changes nothing
+  EXPECT_EQ(SendRequest(*late, Request("quote", 2)).body, "two");
 }
 
-TEST(Gateway, ServesByTheKnownListWhileDiscoveryIsSilent) {
-  Backend backend(Says(Ok("x")));
+TEST(Gateway, ServesFromTheCachedListWhileDiscoveryIsSilent) {
+  Backend backend(RespondsWith(OkResponse("x")));
   Discovery discovery;
-  discovery.Silence(true);
-  Counter counter([](const std::string&, double) { return Bulk("0"); });
-  Process gateway(Config(discovery.port(), counter.port(), json::array({Entry("s1", backend.port())})));
+  discovery.SetSilent(true);
+  Counter counter([](const std::string&, double) { return BulkString("0"); });
+  GatewayProcess gateway(
+      DefaultConfig(discovery.port(), counter.port(), json::array({EndpointEntry("s1", backend.port())})));
   auto client = gateway.Connect();
-  EXPECT_EQ(Ask(*client, Request("quote")).status(), 200);
-  for (int i = 0; i < 3000; ++i) {  // ready without discovery, once its first call has failed
-    if (Ask(*client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200) break;
+  EXPECT_EQ(SendRequest(*client, Request("quote")).status(), 200);
+  for (int i = 0; i < 3000; ++i) {  // ready without discovery once its first call has failed
+    if (SendRequest(*client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200) break;
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
-  EXPECT_EQ(Ask(*client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
+  EXPECT_EQ(SendRequest(*client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
 }
 
-// Discovery that can't carry the fleet answers 503. Gateways come again at times of their own, and go on from
-// the version that they have: whole lists from all of them would keep it down.
-TEST(Discovery, GatewaysThatAreRefusedTogetherDoNotComeAgainTogether) {
-  constexpr int kAsks = 6;  // of watches, after the first whole list
-  std::chrono::steady_clock::duration sixth[2];
+// An overloaded discovery responds with 503. Gateways must not retry at the same time, and must continue from
+// the index that they have: requests for full lists from all gateways would keep discovery overloaded.
+TEST(Discovery, RefusedClientsSpreadTheirRetries) {
+  constexpr int kWatchRequests = 6;  // after the first full list
+  std::chrono::steady_clock::duration elapsed[2];
   for (uint64_t seed : {1, 2}) {
     boost::asio::io_context io(1);
-    std::atomic<int> watches{0}, whole{0};
+    std::atomic<int> watch_requests{0}, full_list_requests{0};
     std::string list = json{{"index", 4}, {"snapshot", true}, {"endpoints", json::array()}}.dump();
-    Server server([&](Wire& wire) {
-      for (Message ask = wire.Read(); ask.whole; ask = wire.Read()) {
-        bool watch = ask.head.find("after=4") != std::string::npos;
-        ++(watch ? watches : whole);
-        wire.Write(whole == 1 && !watch ? Ok(list)
-                                        : "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+    Server server([&](Connection& connection) {
+      for (Message request = connection.Read(); request.complete; request = connection.Read()) {
+        bool watch = request.head.find("after=4") != std::string::npos;
+        ++(watch ? watch_requests : full_list_requests);
+        connection.Write(full_list_requests == 1 && !watch
+                             ? OkResponse(list)
+                             : "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
       }
     });
-    auto site = std::make_shared<const lemonchute::policy::SocketSettings>();
+    auto socket_settings = std::make_shared<const lemonchute::policy::SocketSettings>();
     lemonchute::net::BackendIds ids;
     int failed = 0;
     auto began = std::chrono::steady_clock::now();
     lemonchute::net::DiscoveryClient client(
-        io, {boost::asio::ip::make_address("127.0.0.1"), static_cast<unsigned short>(server.port())}, site,
-        &ids, [](const lemonchute::net::BackendList&) {},
+        io, {boost::asio::ip::make_address("127.0.0.1"), static_cast<unsigned short>(server.port())},
+        socket_settings, &ids, [](const lemonchute::net::BackendList&) {},
         [&] {
-          if (++failed == kAsks) io.stop();
+          if (++failed == kWatchRequests) io.stop();
         },
         seed);
     client.Start();
     io.run();
-    sixth[seed - 1] = std::chrono::steady_clock::now() - began;
+    elapsed[seed - 1] = std::chrono::steady_clock::now() - began;
     client.Stop();
     server.Stop();
-    EXPECT_EQ(whole, 1);
-    EXPECT_EQ(watches, kAsks);
+    EXPECT_EQ(full_list_requests, 1);
+    EXPECT_EQ(watch_requests, kWatchRequests);
   }
-  auto apart = std::chrono::abs(sixth[0] - sixth[1]);
-  EXPECT_GT(apart, std::chrono::milliseconds(100));
+  auto difference = std::chrono::abs(elapsed[0] - elapsed[1]);
+  EXPECT_GT(difference, std::chrono::milliseconds(100));
 }
 
-TEST(Gateway, ServesWithACounterThatFails) {
-  for (std::string answer :
+TEST(Gateway, ServesWhileTheCounterFails) {
+  for (std::string response :
        {"", "-BUSY full\r\n", "-ERR no\r\n", "garbage\r\n", "$999999999\r\n", "$3\r\nabc\r\n"}) {
-    Backend backend(Says(Ok("x")));
+    Backend backend(RespondsWith(OkResponse("x")));
     Discovery discovery;
-    discovery.Set(json::array({Entry("s1", backend.port())}));
-    Counter counter([&](const std::string&, double) { return answer; });
-    Process gateway(Config(discovery.port(), counter.port()));
-    EXPECT_TRUE(discovery.Told());
+    discovery.SetList(json::array({EndpointEntry("s1", backend.port())}));
+    Counter counter([&](const std::string&, double) { return response; });
+    GatewayProcess gateway(DefaultConfig(discovery.port(), counter.port()));
+    EXPECT_TRUE(discovery.AwaitListApplied());
     auto client = gateway.Connect();
-    for (int i = 0; i < 8; ++i) EXPECT_EQ(Ask(*client, Request("quote", 2)).status(), 200) << answer;
-    EXPECT_GT(counter.calls.count(), 0) << answer;
+    for (int i = 0; i < 8; ++i)
+      EXPECT_EQ(SendRequest(*client, Request("quote", 2)).status(), 200) << response;
+    EXPECT_GT(counter.calls.count(), 0) << response;
   }
 }
 
-TEST(Gateway, OnSigtermFinishesWhatItHoldsAndServesWhatStillComes) {
-  Event held, go;
-  Backend backend([&](const Message&, Wire&) {
-    held.Add();
-    go.Wait();
-    return Ok("x");
+TEST(Gateway, CompletesInFlightRequestsAndServesNewOnesAfterSigterm) {
+  Event request_held, release;
+  Backend backend([&](const Message&, Connection&) {
+    request_held.Notify();
+    release.Wait();
+    return OkResponse("x");
+  });
+  Backend second_backend([&](const Message& m, Connection&) {
+    return request_held.Notify(), release.Wait(), OkResponse(m.body);
   });
-  Backend other([&](const Message& m, Wire&) { return held.Add(), go.Wait(), Ok(m.body); });
-  Site site(json::array({Entry("s1", backend.port()), Entry("s2", other.port())}));
-  auto client = site.gateway->Connect(), later = site.gateway->Connect();
+  GatewayFixture fixture(
+      json::array({EndpointEntry("s1", backend.port()), EndpointEntry("s2", second_backend.port())}));
+  auto client = fixture.gateway->Connect(), delayed = fixture.gateway->Connect();
   client->Write(Request("send-lead", 1, 3000));
-  EXPECT_TRUE(held.Wait());
-  std::string begun = Request("save-scenario");
-  later->Write(begun.substr(0, 50));
-  site.gateway->Signal(SIGTERM);
-  auto probe = site.gateway->Connect();
-  for (int i = 0; i < 3000 && Ask(*probe, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200; ++i) {
+  EXPECT_TRUE(request_held.Wait());
+  std::string delayed_request = Request("save-scenario");
+  delayed->Write(delayed_request.substr(0, 50));
+  fixture.gateway->Signal(SIGTERM);
+  auto probe = fixture.gateway->Connect();
+  for (int i = 0; i < 3000 && SendRequest(*probe, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200;
+       ++i) {
   }
-  // A new connection, and one that was there before. Like a client, it asks again if the gateway's closing of
-  // idle connections has crossed its request.
-  later->Write(begun.substr(50));
-  EXPECT_TRUE(held.Wait(2));
-  std::unique_ptr<Wire> fresh;
-  for (int i = 0; i < 50 && held.count() < 3; ++i) {
-    fresh = site.gateway->Connect();
-    fresh->Write(Request("save-scenario"));
-    while (held.count() < 3 && fresh->Open()) std::this_thread::sleep_for(std::chrono::milliseconds(2));
+  // A new connection and an existing one. Like a client, the test retries if the gateway closed the
+  // connection as idle while the request was under way.
+  delayed->Write(delayed_request.substr(50));
+  EXPECT_TRUE(request_held.Wait(2));
+  std::unique_ptr<Connection> new_client;
+  for (int i = 0; i < 50 && request_held.count() < 3; ++i) {
+    new_client = fixture.gateway->Connect();
+    new_client->Write(Request("save-scenario"));
+    while (request_held.count() < 3 && new_client->IsOpen())
+      std::this_thread::sleep_for(std::chrono::milliseconds(2));
   }
-  ASSERT_NE(fresh, nullptr);
-  go.Add();
-  for (Wire* wire : {client.get(), fresh.get(), later.get()}) {
-    Message answer = wire->Read();
-    EXPECT_EQ(answer.status(), 200);
-    EXPECT_EQ(answer.Header("Connection"), "close");
-    EXPECT_TRUE(wire->Ended());
+  ASSERT_NE(new_client, nullptr);
+  release.Notify();
+  for (Connection* connection : {client.get(), new_client.get(), delayed.get()}) {
+    Message response = connection->Read();
+    EXPECT_EQ(response.status(), 200);
+    EXPECT_EQ(response.Header("Connection"), "close");
+    EXPECT_TRUE(connection->WaitForClose());
   }
-  EXPECT_EQ(site.gateway->Exit(), 0);
+  EXPECT_EQ(fixture.gateway->WaitForExit(), 0);
 }
 
-// More connections than there are descriptors: the longest idle make room, and what waits is taken later.
+// With more connections than descriptors, the connections that have been idle longest are evicted, and
+// waiting connections are accepted later.
 TEST(Gateway, SurvivesRunningOutOfDescriptors) {
-  Backend backend(Says(Ok("x")));
-  json config = Config(0, 0);
+  Backend backend(RespondsWith(OkResponse("x")));
+  json config = DefaultConfig(0, 0);
   config["limits"]["sockets"] = 64;
-  for (rlim_t limit : {64, 16}) {  // within its budget, and with less than that
-    Site site(json::array({Entry("s1", backend.port())}), config, LEMONCHUTE_GATEWAY, limit);
-    std::vector<std::unique_ptr<Wire>> idle;
-    for (int i = 0; i < 60; ++i) idle.push_back(site.gateway->Connect());
-    auto client = site.gateway->Connect();
+  for (rlim_t limit : {64, 16}) {  // as configured, and fewer than configured
+    GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}), config, LEMONCHUTE_GATEWAY,
+                           limit);
+    std::vector<std::unique_ptr<Connection>> idle;
+    for (int i = 0; i < 60; ++i) idle.push_back(fixture.gateway->Connect());
+    auto client = fixture.gateway->Connect();
     if (limit < 64) idle.clear();
-    EXPECT_NE(Ask(*client, Request("quote")).status(), 0);
+    EXPECT_NE(SendRequest(*client, Request("quote")).status(), 0);
     idle.clear();
     int status = 0;
     for (int i = 0; i < 100 && status != 200; ++i)
-      status = Ask(*site.gateway->Connect(), Request("quote")).status();
+      status = SendRequest(*fixture.gateway->Connect(), Request("quote")).status();
     EXPECT_EQ(status, 200);
   }
 }
 
-TEST(Gateway, SaysInOneLineWhatSettingIsMissing) {
-  json missing = Config(1, 1), bad = Config(1, 1), list = Config(1, 1);
-  missing["settings"]["invariants"].erase("cold-from");
-  bad["listen"] = "nowhere";
-  list["known"] = {{"index", "x"}};
+TEST(Gateway, ReportsAnInvalidSettingInOneLine) {
+  json missing_setting = DefaultConfig(1, 1), bad_address = DefaultConfig(1, 1),
+       bad_list = DefaultConfig(1, 1);
+  missing_setting["settings"]["invariants"].erase("cold-from");
+  bad_address["listen"] = "nowhere";
+  bad_list["known"] = {{"index", "x"}};
   std::vector<std::pair<std::string, std::string>> cases = {
-      {missing.dump(), "/settings/invariants/cold-from"},
-      {bad.dump(), "/listen: "},
-      {list.dump(), "/known"},
+      {missing_setting.dump(), "/settings/invariants/cold-from"},
+      {bad_address.dump(), "/listen: "},
+      {bad_list.dump(), "/known"},
       {"{", "JSON"}};
-  for (const auto& [text, word] : cases) {
-    Process gateway(text, LEMONCHUTE_GATEWAY, 0);
-    EXPECT_NE(gateway.Exit(), 0);
-    EXPECT_NE(gateway.line.find(word), std::string::npos) << gateway.line;
-    EXPECT_EQ(gateway.rest, "") << "one line";
+  for (const auto& [text, expected] : cases) {
+    GatewayProcess gateway(text, LEMONCHUTE_GATEWAY, 0);
+    EXPECT_NE(gateway.WaitForExit(), 0);
+    EXPECT_NE(gateway.listen_line.find(expected), std::string::npos) << gateway.listen_line;
+    EXPECT_EQ(gateway.late_log, "") << "only one line is logged";
   }
 }
 
-TEST(Ops, AnswersItsCallsAndRefusesOthers) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0, kOps);
-  int ops = site.gateway->ops_port;
-  EXPECT_EQ(Call(ops, "GET", "/control/ready").status(), 200);
-  EXPECT_EQ(Call(ops, "GET", "/control/nothing").status(), 404);
-  EXPECT_EQ(Call(ops, "GET", "/control/backends/s1").status(), 404);
-  EXPECT_EQ(Call(ops, "PUT", "/control/ready").status(), 405);
-  EXPECT_EQ(Call(ops, "GET", "/control/out-of-service").status(), 405);
-  EXPECT_EQ(Call(ops, "DELETE", "/control/backends/s1/offline").status(), 405);
-  EXPECT_EQ(Call(ops, "PUT", "/control/backends/s2/offline").status(), 404);
-  auto caller = Wire::To(ops);
-  EXPECT_EQ(Ask(*caller, "no call\r\n\r\n").status(), 400);
-  EXPECT_TRUE(caller->Ended());
-  EXPECT_EQ(Ask(*site.gateway->Connect(), "GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 400)
-      << "not for clients";
+TEST(AdminEndpoint, ServesItsCallsAndRejectsOthers) {
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0,
+                         kAdminEnvironment);
+  int admin_port = fixture.gateway->admin_port;
+  EXPECT_EQ(AdminCall(admin_port, "GET", "/control/ready").status(), 200);
+  EXPECT_EQ(AdminCall(admin_port, "GET", "/control/nothing").status(), 404);
+  EXPECT_EQ(AdminCall(admin_port, "GET", "/control/backends/s1").status(), 404);
+  EXPECT_EQ(AdminCall(admin_port, "PUT", "/control/ready").status(), 405);
+  EXPECT_EQ(AdminCall(admin_port, "GET", "/control/out-of-service").status(), 405);
+  EXPECT_EQ(AdminCall(admin_port, "DELETE", "/control/backends/s1/offline").status(), 405);
+  EXPECT_EQ(AdminCall(admin_port, "PUT", "/control/backends/s2/offline").status(), 404);
+  auto caller = Connection::ConnectTo(admin_port);
+  EXPECT_EQ(SendRequest(*caller, "no call\r\n\r\n").status(), 400);
+  EXPECT_TRUE(caller->WaitForClose());
+  EXPECT_EQ(
+      SendRequest(*fixture.gateway->Connect(), "GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(),
+      400)
+      << "admin calls are not available to clients";
 }
 
-// Callers that hold a connection without a whole call give way to one that has something to say.
-TEST(Ops, AnswersBesideCallersThatDribble) {
-  Site site(json::array(), {}, LEMONCHUTE_GATEWAY, 0, kOps);
-  int ops = site.gateway->ops_port;
-  std::vector<std::unique_ptr<Wire>> callers;
+// Connections with an incomplete call are closed in favour of a caller that sends a complete one.
+TEST(AdminEndpoint, RespondsWhileOtherCallersSendIncompleteCalls) {
+  GatewayFixture fixture(json::array(), {}, LEMONCHUTE_GATEWAY, 0, kAdminEnvironment);
+  int admin_port = fixture.gateway->admin_port;
+  std::vector<std::unique_ptr<Connection>> callers;
   for (int i = 0; i < 100; ++i) {
-    callers.push_back(Wire::To(ops));
+    callers.push_back(Connection::ConnectTo(admin_port));
     callers.back()->Write("GET /cont");
   }
-  EXPECT_EQ(Call(ops, "GET", "/control/ready").status(), 200);
-  EXPECT_TRUE(callers.front()->Ended());
+  EXPECT_EQ(AdminCall(admin_port, "GET", "/control/ready").status(), 200);
+  EXPECT_TRUE(callers.front()->WaitForClose());
 }
 
-TEST(Ops, CountsEachEndOnceAndEachAttempt) {
-  Event held, go;
-  std::atomic<int> seen{0};
-  Backend backend([&](const Message&, Wire&) {
-    if (++seen == 3) held.Add(), go.Wait();
-    return seen == 2 ? "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n" : Ok("x");
+TEST(AdminEndpoint, CountsEachResponseAndEachAttemptOnce) {
+  Event request_held, release;
+  std::atomic<int> requests_seen{0};
+  Backend backend([&](const Message&, Connection&) {
+    if (++requests_seen == 3) request_held.Notify(), release.Wait();
+    return requests_seen == 2 ? "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n" : OkResponse("x");
   });
-  Site site(json::array({Entry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0, kOps);
-  int ops = site.gateway->ops_port;
-  auto client = site.gateway->Connect();
-  EXPECT_EQ(Figure(ops, "ok.send-lead"), 0);
-  EXPECT_EQ(Ask(*client, Request("send-lead")).status(), 200);
-  EXPECT_EQ(Ask(*client, Request("send-lead")).status(), 502);
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0,
+                         kAdminEnvironment);
+  int admin_port = fixture.gateway->admin_port;
+  auto client = fixture.gateway->Connect();
+  EXPECT_EQ(ReadMetric(admin_port, "ok.send-lead"), 0);
+  EXPECT_EQ(SendRequest(*client, Request("send-lead")).status(), 200);
+  EXPECT_EQ(SendRequest(*client, Request("send-lead")).status(), 502);
   client->Write(Request("send-lead"));
-  ASSERT_TRUE(held.Wait());
-  EXPECT_EQ(Figure(ops, "active"), 1);
-  go.Add();
+  ASSERT_TRUE(request_held.Wait());
+  EXPECT_EQ(ReadMetric(admin_port, "active"), 1);
+  release.Notify();
   EXPECT_EQ(client->Read().status(), 200);
-  EXPECT_EQ(Call(ops, "PUT", "/control/backends/s1/offline").status(), 200);
-  EXPECT_EQ(Ask(*client, Request("send-lead")).status(), 503);
-  EXPECT_EQ(Figure(ops, "ok.send-lead"), 2);
-  EXPECT_EQ(Figure(ops, "errors.send-lead"), 1);
-  EXPECT_EQ(Figure(ops, "shed.send-lead"), 1);
-  EXPECT_EQ(Figure(ops, "ok.quote"), 0);
-  EXPECT_EQ(Figure(ops, "tries"), 3);
-  EXPECT_EQ(Figure(ops, "active"), 0);
-  EXPECT_EQ(Figure(ops, "pool_size"), 1);
-  EXPECT_EQ(Figure(ops, "pool_ejected"), 1);
+  EXPECT_EQ(AdminCall(admin_port, "PUT", "/control/backends/s1/offline").status(), 200);
+  EXPECT_EQ(SendRequest(*client, Request("send-lead")).status(), 503);
+  EXPECT_EQ(ReadMetric(admin_port, "ok.send-lead"), 2);
+  EXPECT_EQ(ReadMetric(admin_port, "errors.send-lead"), 1);
+  EXPECT_EQ(ReadMetric(admin_port, "shed.send-lead"), 1);
+  EXPECT_EQ(ReadMetric(admin_port, "ok.quote"), 0);
+  EXPECT_EQ(ReadMetric(admin_port, "tries"), 3);
+  EXPECT_EQ(ReadMetric(admin_port, "active"), 0);
+  EXPECT_EQ(ReadMetric(admin_port, "pool_size"), 1);
+  EXPECT_EQ(ReadMetric(admin_port, "pool_ejected"), 1);
 }
 
-// Taken out by hand: its kept connections end, nothing more goes to it whatever discovery says, also after a
-// start with the same folder, until one call back.
-TEST(Ops, KeepsABackendOfflineUntilItIsCalledBack) {
+// While a backend is offline its idle connections are closed and it gets no requests, whatever discovery
+// reports. This survives a restart with the same folder, until an operator sets the backend online.
+TEST(AdminEndpoint, KeepsABackendOfflineUntilItIsSetOnline) {
   Event closed;
-  Backend one([&](const Message&, Wire& wire) {
-    wire.Write(Ok("one"));
-    while (!wire.Ended()) wire.Write(Ok("one"));
-    closed.Add();
+  Backend backend([&](const Message&, Connection& connection) {
+    connection.Write(OkResponse("one"));
+    while (!connection.WaitForClose()) connection.Write(OkResponse("one"));
+    closed.Notify();
     return std::string();
   });
-  Folder folder;
-  Process::Environment environment = kOps;
+  TempFolder folder;
+  GatewayProcess::Environment environment = kAdminEnvironment;
   environment["TMPDIR"] = folder.path();
-  json entries = json::array({Entry("s 1", one.port())});
-  auto ask = [](Site& site) { return Ask(*site.gateway->Connect(), Request("quote")); };
+  json entries = json::array({EndpointEntry("s 1", backend.port())});
+  auto send_request = [](GatewayFixture& fixture) {
+    return SendRequest(*fixture.gateway->Connect(), Request("quote"));
+  };
   {
-    Site site(entries, {}, LEMONCHUTE_GATEWAY, 0, environment);
-    EXPECT_EQ(ask(site).body, "one");
+    GatewayFixture fixture(entries, {}, LEMONCHUTE_GATEWAY, 0, environment);
+    EXPECT_EQ(send_request(fixture).body, "one");
     for (int i = 0; i < 2; ++i) {
-      EXPECT_EQ(Call(site.gateway->ops_port, "PUT", "/control/backends/s%201/offline").status(), 200);
+      EXPECT_EQ(AdminCall(fixture.gateway->admin_port, "PUT", "/control/backends/s%201/offline").status(),
+                200);
     }
     EXPECT_TRUE(closed.Wait());
-    EXPECT_EQ(ask(site).status(), 503);
-    site.discovery.Set(json::array());
-    site.discovery.Set(entries);
-    EXPECT_TRUE(site.discovery.Told());
-    EXPECT_EQ(ask(site).status(), 503);
+    EXPECT_EQ(send_request(fixture).status(), 503);
+    fixture.discovery.SetList(json::array());
+    fixture.discovery.SetList(entries);
+    EXPECT_TRUE(fixture.discovery.AwaitListApplied());
+    EXPECT_EQ(send_request(fixture).status(), 503);
   }
-  Site site(entries, {}, LEMONCHUTE_GATEWAY, 0, environment);
-  EXPECT_EQ(ask(site).status(), 503);
-  EXPECT_EQ(Call(site.gateway->ops_port, "PUT", "/control/backends/s%201/online").status(), 200);
-  EXPECT_EQ(Figure(site.gateway->ops_port, "pool_ejected"), 0);
-  for (int i = 0; i < 3000 && ask(site).status() != 200; ++i) {  // it is met as cold
+  GatewayFixture fixture(entries, {}, LEMONCHUTE_GATEWAY, 0, environment);
+  EXPECT_EQ(send_request(fixture).status(), 503);
+  EXPECT_EQ(AdminCall(fixture.gateway->admin_port, "PUT", "/control/backends/s%201/online").status(), 200);
+  EXPECT_EQ(ReadMetric(fixture.gateway->admin_port, "pool_ejected"), 0);
+  for (int i = 0; i < 3000 && send_request(fixture).status() != 200; ++i) {  // it is treated as cold at first
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
-  EXPECT_EQ(one.requests.count(), 2);
+  EXPECT_EQ(backend.requests.count(), 2);
 }
 
-TEST(Ops, StartsWithADamagedFileAndSaysNoWhereNothingCanBeKept) {
-  Folder folder;
+TEST(AdminEndpoint, StartsWithADamagedFileAndRejectsChangesItCannotStore) {
+  TempFolder folder;
   std::ofstream(folder.path() + "/lb-maintenance.json") << "[\"s1\", 7";
-  Backend backend(Says(Ok("x")));
-  Process::Environment environment = kOps;
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayProcess::Environment environment = kAdminEnvironment;
   environment["TMPDIR"] = folder.path();
-  Site site(json::array({Entry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0, environment);
-  EXPECT_EQ(Ask(*site.gateway->Connect(), Request("quote")).status(), 200);
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0,
+                         environment);
+  EXPECT_EQ(SendRequest(*fixture.gateway->Connect(), Request("quote")).status(), 200);
   std::filesystem::remove_all(folder.path());
-  EXPECT_EQ(Call(site.gateway->ops_port, "PUT", "/control/backends/s1/offline").status(), 500);
-  EXPECT_EQ(Ask(*site.gateway->Connect(), Request("quote")).status(), 200);
+  EXPECT_EQ(AdminCall(fixture.gateway->admin_port, "PUT", "/control/backends/s1/offline").status(), 500);
+  EXPECT_EQ(SendRequest(*fixture.gateway->Connect(), Request("quote")).status(), 200);
 }
 
-// Drained: not ready at once, goes on serving, then lets go of clients' connections, and comes back.
-TEST(Ops, DrainsAndComesBack) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0, kOps);
-  int ops = site.gateway->ops_port;
-  auto idle = site.gateway->Connect(), client = site.gateway->Connect();
-  EXPECT_EQ(Ask(*idle, kReady).status(), 200);
-  EXPECT_EQ(Call(ops, "PUT", "/control/out-of-service").status(), 200);
-  EXPECT_EQ(Ask(*client, kReady).status(), 503);
-  EXPECT_EQ(Call(ops, "GET", "/control/ready").status(), 503);
-  EXPECT_EQ(Ask(*client, Request("quote")).status(), 200);
-  EXPECT_TRUE(idle->Ended());
-  Message answer = Ask(*site.gateway->Connect(), Request("quote"));
-  EXPECT_EQ(answer.status(), 200);
-  EXPECT_EQ(answer.Header("Connection"), "close");
-  EXPECT_EQ(Call(ops, "PUT", "/control/in-service").status(), 200);
-  client = site.gateway->Connect();
-  EXPECT_EQ(Ask(*client, kReady).status(), 200);
-  EXPECT_EQ(Ask(*client, Request("quote")).Header("Connection"), "");
+// A drained gateway stops being ready immediately, still serves requests, closes idle client connections and
+// can return to service.
+TEST(AdminEndpoint, DrainsAndReturnsToService) {
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0,
+                         kAdminEnvironment);
+  int admin_port = fixture.gateway->admin_port;
+  auto idle = fixture.gateway->Connect(), client = fixture.gateway->Connect();
+  EXPECT_EQ(SendRequest(*idle, kReadinessRequest).status(), 200);
+  EXPECT_EQ(AdminCall(admin_port, "PUT", "/control/out-of-service").status(), 200);
+  EXPECT_EQ(SendRequest(*client, kReadinessRequest).status(), 503);
+  EXPECT_EQ(AdminCall(admin_port, "GET", "/control/ready").status(), 503);
+  EXPECT_EQ(SendRequest(*client, Request("quote")).status(), 200);
+  EXPECT_TRUE(idle->WaitForClose());
+  Message response = SendRequest(*fixture.gateway->Connect(), Request("quote"));
+  EXPECT_EQ(response.status(), 200);
+  EXPECT_EQ(response.Header("Connection"), "close");
+  EXPECT_EQ(AdminCall(admin_port, "PUT", "/control/in-service").status(), 200);
+  client = fixture.gateway->Connect();
+  EXPECT_EQ(SendRequest(*client, kReadinessRequest).status(), 200);
+  EXPECT_EQ(SendRequest(*client, Request("quote")).Header("Connection"), "");
 }
 
-// A replaced file counts as a whole: classes come and go and change their effect, and what is held goes on as
-// it came.
-TEST(Reload, TakesClassesAndRulesForWhatComesAfter) {
-  Event held, go;
+// A new file applies as a whole: classes are added, removed or change their effect. Requests in flight
+// continue under the configuration with which they arrived.
+TEST(Reload, AppliesNewClassesAndLimitsToLaterRequestsOnly) {
+  Event request_held, release;
   std::atomic<bool> fails{false};
-  Backend backend([&](const Message& m, Wire&) {
-    if (m.body == "wait") held.Add(), go.Wait();
-    return fails || m.body == "wait" ? "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n" : Ok("x");
+  Backend backend([&](const Message& m, Connection&) {
+    if (m.body == "wait") request_held.Notify(), release.Wait();
+    return fails || m.body == "wait" ? "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n" : OkResponse("x");
   });
-  Site site(json::array({Entry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0, kOps);
-  int ops = site.gateway->ops_port;
-  auto early = site.gateway->Connect(), client = site.gateway->Connect();
-  EXPECT_EQ(Ask(*client, Fresh("send-lead")).status(), 200);
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0,
+                         kAdminEnvironment);
+  int admin_port = fixture.gateway->admin_port;
+  auto early = fixture.gateway->Connect(), client = fixture.gateway->Connect();
+  EXPECT_EQ(SendRequest(*client, RequestOfNewCustomer("send-lead")).status(), 200);
   early->Write(Request("send-lead", 1, 3000, "", "wait"));
-  ASSERT_TRUE(held.Wait());
-  json config = Config(site.discovery.port(), site.counter.port());
+  ASSERT_TRUE(request_held.Wait());
+  json config = DefaultConfig(fixture.discovery.port(), fixture.counter.port());
   json& classes = config["settings"]["request-classes"];
   classes[0]["effect"] = "single_shot";  // quote
-  classes[2]["name"] = "send-note";      // in place of send-lead
+  classes[2]["name"] = "send-note";      // replaces send-lead
   config["settings"]["limits"]["try-limit"] = 1;
-  site.gateway->Reconfigure(config);
-  AwaitFigure(ops, "config_applied", 1);
-  EXPECT_EQ(Ask(*client, Fresh("send-note")).status(), 200);
-  EXPECT_EQ(Ask(*client, Fresh("send-lead")).status(), 400);
-  EXPECT_EQ(Ask(*client, Fresh("quote")).status(), 405) << "now a class that is not safe, so POST";
-  go.Add();
-  EXPECT_EQ(early->Read().status(), 502) << "a single shot that may have run, as when it came";
-  EXPECT_EQ(Figure(ops, "ok.send-note"), 1);
-  EXPECT_EQ(Figure(ops, "ok.send-lead"), 1) << "a dropped class keeps its counts";
+  fixture.gateway->Reconfigure(config);
+  AwaitMetric(admin_port, "config_applied", 1);
+  EXPECT_EQ(SendRequest(*client, RequestOfNewCustomer("send-note")).status(), 200);
+  EXPECT_EQ(SendRequest(*client, RequestOfNewCustomer("send-lead")).status(), 400);
+  EXPECT_EQ(SendRequest(*client, RequestOfNewCustomer("quote")).status(), 405)
+      << "the class is no longer idempotent and requires POST";
+  release.Notify();
+  EXPECT_EQ(early->Read().status(), 502) << "still non-idempotent, as when it arrived, and it may have run";
+  EXPECT_EQ(ReadMetric(admin_port, "ok.send-note"), 1);
+  EXPECT_EQ(ReadMetric(admin_port, "ok.send-lead"), 1) << "a removed class keeps its counts";
   fails = true;
   int before = backend.requests.count();
-  EXPECT_EQ(Ask(*client, Request("save-scenario")).status(), 503);
-  EXPECT_EQ(backend.requests.count(), before + 1) << "attempts have become fewer";
+  EXPECT_EQ(SendRequest(*client, Request("save-scenario")).status(), 503);
+  EXPECT_EQ(backend.requests.count(), before + 1) << "the attempt limit is now 1";
 }
 
-TEST(Reload, TakesNothingFromABrokenFile) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0, kOps);
-  json good = Config(1, 1);  // addresses where nothing is
-  good["settings"]["request-classes"][2]["name"] = "send-note";
-  std::vector<std::string> files = {"", good.dump().substr(0, good.dump().size() / 2)};
-  auto with = [&](const char* pointer, const json& value) {
-    json bad = good;
-    bad[json::json_pointer(pointer)] = value;
-    files.push_back(bad.dump());
+TEST(Reload, AppliesNothingFromAnInvalidFile) {
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0,
+                         kAdminEnvironment);
+  json valid = DefaultConfig(1, 1);  // addresses on which nothing listens
+  valid["settings"]["request-classes"][2]["name"] = "send-note";
+  std::vector<std::string> files = {"", valid.dump().substr(0, valid.dump().size() / 2)};
+  auto add_with = [&](const char* pointer, const json& value) {
+    json invalid = valid;
+    invalid[json::json_pointer(pointer)] = value;
+    files.push_back(invalid.dump());
   };
-  auto without = [&](const char* pointer, const char* key) {
-    json bad = good;
-    bad[json::json_pointer(pointer)].erase(key);
-    files.push_back(bad.dump());
+  auto add_without = [&](const char* pointer, const char* key) {
+    json invalid = valid;
+    invalid[json::json_pointer(pointer)].erase(key);
+    files.push_back(invalid.dump());
   };
-  with("/settings/request-classes/0/hard-limit-s", 0);
-  with("/settings/request-classes/2/hard-limit-s", -1.5);
-  with("/settings/request-classes/0/hard-limit-s", "3.0");
-  with("/settings/request-classes/1/aim-s", nullptr);
-  with("/settings/limits/try-limit", 0);
-  with("/settings/limits/try-limit", -2);
-  with("/settings/limits/try-limit", "many");
-  with("/settings/request-classes", json::array());
-  without("", "counter");
-  without("", "settings");
-  without("/settings/limits", "try-limit");
-  without("/settings/request-classes/1", "streamed");
+  add_with("/settings/request-classes/0/hard-limit-s", 0);
+  add_with("/settings/request-classes/2/hard-limit-s", -1.5);
+  add_with("/settings/request-classes/0/hard-limit-s", "3.0");
+  add_with("/settings/request-classes/1/aim-s", nullptr);
+  add_with("/settings/limits/try-limit", 0);
+  add_with("/settings/limits/try-limit", -2);
+  add_with("/settings/limits/try-limit", "many");
+  add_with("/settings/request-classes", json::array());
+  add_without("", "counter");
+  add_without("", "settings");
+  add_without("/settings/limits", "try-limit");
+  add_without("/settings/request-classes/1", "streamed");
   long rejected = 0;
   for (const std::string& file : files) {
-    site.gateway->Reconfigure(file);
-    AwaitFigure(site.gateway->ops_port, "config_rejected", ++rejected);
-    EXPECT_EQ(Ask(*site.gateway->Connect(), Fresh("send-lead")).status(), 200) << file.substr(0, 200);
+    fixture.gateway->Reconfigure(file);
+    AwaitMetric(fixture.gateway->admin_port, "config_rejected", ++rejected);
+    EXPECT_EQ(SendRequest(*fixture.gateway->Connect(), RequestOfNewCustomer("send-lead")).status(), 200)
+        << file.substr(0, 200);
   }
-  EXPECT_EQ(Figure(site.gateway->ops_port, "config_applied"), 0);
+  EXPECT_EQ(ReadMetric(fixture.gateway->admin_port, "config_applied"), 0);
 }
 
-// A body that is longer than what is held, and that shows any byte out of its place.
-std::string Long(size_t size) {
+// Text in which every position is distinguishable, so that lost or misplaced bytes are detected.
+std::string NumberedText(size_t size) {
   std::string text;
   for (size_t i = 0; text.size() < size; ++i) text += std::to_string(i) + ",";
   return text.substr(0, size);
 }
 
-std::string Chunks(const std::string& body, size_t most) {
+// `body` in chunks of at most `max_chunk` bytes, with chunk extensions and without the last chunk.
+std::string ChunkedBody(const std::string& body, size_t max_chunk) {
   std::string text;
   char size[40];
-  for (size_t at = 0; at < body.size(); at += most) {
-    std::string part = body.substr(at, most);
-    std::snprintf(size, sizeof(size), "%zX;note=\"a;b\"\r\n", part.size());
-    text += size + part + "\r\n";
+  for (size_t offset = 0; offset < body.size(); offset += max_chunk) {
+    std::string piece = body.substr(offset, max_chunk);
+    std::snprintf(size, sizeof(size), "%zX;note=\"a;b\"\r\n", piece.size());
+    text += size + piece + "\r\n";
   }
   return text;
 }
 
-std::string Unchunked(Wire& wire) {
+// Reads a chunked body up to its last chunk, or returns a text that says what is missing.
+std::string ReadChunkedBody(Connection& connection) {
   std::string body;
   for (;;) {
-    std::string line = wire.Until("\r\n");
+    std::string line = connection.ReadUntil("\r\n");
     size_t size = std::strtoul(line.c_str(), nullptr, 16);
     if (size == 0) return line == "0\r\n" ? body : "no last chunk";
-    if (!wire.Until(size + 2)) return "cut";
-    body += wire.unread.substr(0, size);
-    wire.unread.erase(0, size + 2);
+    if (!connection.ReadUntil(size + 2)) return "cut";
+    body += connection.unread.substr(0, size);
+    connection.unread.erase(0, size + 2);
   }
 }
 
-// A large answer is passed on while it still comes, in whatever way its length is told.
-TEST(Stream, PassesALargeAnswerOnAsItComes) {
-  std::string body = Long(300000);
+// A large response is forwarded while it is still arriving, whether it is delimited by its length, by chunks
+// or by the end of the connection.
+TEST(Stream, ForwardsALargeResponseAsItArrives) {
+  std::string body = NumberedText(300000);
   size_t half = 150000;
-  for (std::string form : {"length", "chunks", "end"}) {
-    Event first;
-    Backend backend([&](const Message&, Wire& wire) {
-      bool chunks = form == "chunks";
+  for (std::string framing : {"length", "chunks", "end"}) {
+    Event first_half_received;
+    Backend backend([&](const Message&, Connection& connection) {
+      bool chunks = framing == "chunks";
       std::string head = "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nX-Note: kept\r\n";
-      if (form == "length") head += "Content-Length: 300000\r\n";
+      if (framing == "length") head += "Content-Length: 300000\r\n";
       if (chunks) head += "Transfer-Encoding: chunked\r\nTrailer: X-End\r\n";
-      wire.Write(head + "\r\n" + (chunks ? Chunks(body.substr(0, half), 1000) : body.substr(0, half)));
-      EXPECT_TRUE(first.Wait()) << form;
-      wire.Write(chunks ? Chunks(body.substr(half), 70000) + "0\r\nX-End: 1\r\n\r\n" : body.substr(half));
+      connection.Write(head + "\r\n" +
+                       (chunks ? ChunkedBody(body.substr(0, half), 1000) : body.substr(0, half)));
+      EXPECT_TRUE(first_half_received.Wait()) << framing;
+      connection.Write(chunks ? ChunkedBody(body.substr(half), 70000) + "0\r\nX-End: 1\r\n\r\n"
+                              : body.substr(half));
       return std::string();
     });
-    Site site(json::array({Entry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0, kOps);
-    auto client = site.gateway->Connect();
+    GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0,
+                           kAdminEnvironment);
+    auto client = fixture.gateway->Connect();
     client->Write(Request("quote"));
-    std::string head = client->Until("\r\n\r\n");
-    EXPECT_EQ(head.substr(0, 15), "HTTP/1.1 200 OK") << form;
-    EXPECT_NE(head.find("X-Note: kept"), std::string::npos) << form;
-    ASSERT_TRUE(client->Until(30000)) << form;
-    EXPECT_EQ(Figure(site.gateway->ops_port, "active"), 1) << "not ended yet";
-    first.Add();
-    if (form == "length") {
-      ASSERT_TRUE(client->Until(body.size()));
+    std::string head = client->ReadUntil("\r\n\r\n");
+    EXPECT_EQ(head.substr(0, 15), "HTTP/1.1 200 OK") << framing;
+    EXPECT_NE(head.find("X-Note: kept"), std::string::npos) << framing;
+    ASSERT_TRUE(client->ReadUntil(30000)) << framing;
+    EXPECT_EQ(ReadMetric(fixture.gateway->admin_port, "active"), 1) << "the response is not complete yet";
+    first_half_received.Notify();
+    if (framing == "length") {
+      ASSERT_TRUE(client->ReadUntil(body.size()));
       EXPECT_EQ(client->unread, body);
       client->unread.clear();
     } else {
-      EXPECT_EQ(Unchunked(*client), body) << form;
-      EXPECT_EQ(client->Until("\r\n"), "\r\n");
+      EXPECT_EQ(ReadChunkedBody(*client), body) << framing;
+      EXPECT_EQ(client->ReadUntil("\r\n"), "\r\n");
     }
-    AwaitFigure(site.gateway->ops_port, "ok.quote", 1);
-    EXPECT_EQ(Ask(*client, kReady).status(), 200) << "kept: " << form;
+    AwaitMetric(fixture.gateway->admin_port, "ok.quote", 1);
+    EXPECT_EQ(SendRequest(*client, kReadinessRequest).status(), 200)
+        << "the connection must stay open: " << framing;
     EXPECT_EQ(backend.requests.count(), 1);
   }
 }
 
-// What breaks off after it has begun is neither tried again nor made to look whole.
-TEST(Stream, CutsAnAnswerThatBreaksOff) {
-  std::string body = Long(100000);
+// A streamed response that breaks off is not retried, and the client can tell that it is incomplete.
+TEST(Stream, CutsOffAResponseThatBreaksOff) {
+  std::string body = NumberedText(100000);
   for (bool chunks : {false, true}) {
-    Backend backend([&](const Message&, Wire& wire) {
-      wire.Write(std::string("HTTP/1.1 200 OK\r\n") +
-                 (chunks ? "Transfer-Encoding: chunked\r\n\r\n" + Chunks(body, 5000)
-                         : "Content-Length: 200000\r\n\r\n" + body));
+    Backend backend([&](const Message&, Connection& connection) {
+      connection.Write(std::string("HTTP/1.1 200 OK\r\n") +
+                       (chunks ? "Transfer-Encoding: chunked\r\n\r\n" + ChunkedBody(body, 5000)
+                               : "Content-Length: 200000\r\n\r\n" + body));
       return std::string();
     });
-    Site site(json::array({Entry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0, kOps);
-    auto client = site.gateway->Connect();
+    GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0,
+                           kAdminEnvironment);
+    auto client = fixture.gateway->Connect();
     client->Write(Request("quote"));
-    EXPECT_NE(client->Until("\r\n\r\n"), "");
+    EXPECT_NE(client->ReadUntil("\r\n\r\n"), "");
     if (chunks) {
-      EXPECT_EQ(Unchunked(*client), "no last chunk");
+      EXPECT_EQ(ReadChunkedBody(*client), "no last chunk");
     } else {
-      while (client->More()) {
+      while (client->ReadMore()) {
       }
       EXPECT_EQ(client->unread, body);
     }
-    AwaitFigure(site.gateway->ops_port, "errors.quote", 1);
+    AwaitMetric(fixture.gateway->admin_port, "errors.quote", 1);
     EXPECT_EQ(backend.requests.count(), 1);
   }
 }
 
-// A client that does not read holds its backend up, and costs no more memory than one that does.
-TEST(Stream, HoldsNoMoreThanAPieceForASlowClient) {
+// Backpressure: a client that does not read stalls its backend and uses no more memory than one that reads.
+TEST(Stream, BuffersNoMoreThanAPieceForASlowClient) {
   constexpr size_t kSize = size_t{32} << 20;
   std::atomic<size_t> written{0};
-  Backend backend([&](const Message&, Wire& wire) {
-    wire.Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kSize) + "\r\n\r\n");
-    std::string part(1 << 20, 'b');
-    for (size_t at = 0; at < kSize; written = at) {
-      wire.Write(part);
-      at += part.size();
+  Backend backend([&](const Message&, Connection& connection) {
+    connection.Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kSize) + "\r\n\r\n");
+    std::string megabyte(1 << 20, 'b');
+    for (size_t sent = 0; sent < kSize; written = sent) {
+      connection.Write(megabyte);
+      sent += megabyte.size();
     }
     return std::string();
   });
-  Site site(json::array({Entry("s1", backend.port())}));
-  auto client = site.gateway->Connect();
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+  auto client = fixture.gateway->Connect();
   client->Write(Request("quote"));
-  ASSERT_NE(client->Until("\r\n\r\n"), "");
-  for (size_t last = 1, now = 0; last != now || now == 0;) {  // until its backend has come to rest
-    last = written;
+  ASSERT_NE(client->ReadUntil("\r\n\r\n"), "");
+  for (size_t previous = 1, current = 0;
+       previous != current || current == 0;) {  // until the backend is blocked
+    previous = written;
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
-    now = written;
+    current = written;
   }
   EXPECT_LT(written, kSize);
-  size_t got = client->unread.size();
+  size_t received = client->unread.size();
   client->unread.clear();
-  while (got < kSize && client->More()) {
-    got += client->unread.size();
+  while (received < kSize && client->ReadMore()) {
+    received += client->unread.size();
     client->unread.clear();
   }
-  EXPECT_EQ(got, kSize);
-  EXPECT_GT(site.gateway->MostMemory(), 0);
-  EXPECT_LT(site.gateway->MostMemory(), 24 << 10);
+  EXPECT_EQ(received, kSize);
+  EXPECT_GT(fixture.gateway->PeakMemoryKb(), 0);
+  EXPECT_LT(fixture.gateway->PeakMemoryKb(), 24 << 10);
 }
 
-// Where memory is short less is held: what would fit elsewhere is passed on as it comes.
-TEST(Stream, HoldsLessWhereMemoryIsShort) {
-  std::string body = Long(40000);
+// With little memory, responses that would otherwise be buffered are streamed.
+TEST(Stream, BuffersLessWhenMemoryIsShort) {
+  std::string body = NumberedText(40000);
   constexpr int kClients = 6;
-  Event all, first;
-  Backend backend([&](const Message&, Wire& wire) {
-    all.Add();
-    EXPECT_TRUE(all.Wait(kClients)) << "each is to have a sixth of the budget";
-    wire.Write("HTTP/1.1 200 OK\r\nContent-Length: 40000\r\n\r\n" + body.substr(0, 20000));
-    EXPECT_TRUE(first.Wait());
-    wire.Write(body.substr(20000));
+  Event requests_received, first_half_received;
+  Backend backend([&](const Message&, Connection& connection) {
+    requests_received.Notify();
+    EXPECT_TRUE(requests_received.Wait(kClients)) << "each request should get a sixth of the budget";
+    connection.Write("HTTP/1.1 200 OK\r\nContent-Length: 40000\r\n\r\n" + body.substr(0, 20000));
+    EXPECT_TRUE(first_half_received.Wait());
+    connection.Write(body.substr(20000));
     return std::string();
   });
-  json config = Config(0, 0);
+  json config = DefaultConfig(0, 0);
   config["limits"]["memory_mb"] = 1;
   json entries = json::array();
   for (int i = 0; i < 8; ++i)
-    entries.push_back(Entry(std::string("s").append(std::to_string(i)), backend.port()));
-  Site site(entries, config);
-  std::vector<std::unique_ptr<Wire>> clients;
-  for (int i = 0; i < kClients; ++i) clients.push_back(site.gateway->Connect());
-  for (auto& client : clients) client->Write(Fresh("quote"));
-  for (auto& client : clients) EXPECT_NE(client->Until("\r\n\r\n"), "");
-  first.Add();
+    entries.push_back(EndpointEntry(std::string("s").append(std::to_string(i)), backend.port()));
+  GatewayFixture fixture(entries, config);
+  std::vector<std::unique_ptr<Connection>> clients;
+  for (int i = 0; i < kClients; ++i) clients.push_back(fixture.gateway->Connect());
+  for (auto& client : clients) client->Write(RequestOfNewCustomer("quote"));
+  for (auto& client : clients) EXPECT_NE(client->ReadUntil("\r\n\r\n"), "");
+  first_half_received.Notify();
   for (auto& client : clients) {
-    EXPECT_TRUE(client->Until(body.size()));
+    EXPECT_TRUE(client->ReadUntil(body.size()));
     EXPECT_EQ(client->unread, body);
   }
 }
 
-// A large body reaches the backend while it still comes, framed as it came, and only once it was asked for.
-TEST(Stream, PassesALargeBodyOnAsItComes) {
-  std::string body = Long(300000);
+// A large body is forwarded while it is still arriving, with the framing that the client used, and 100
+// Continue is sent before it.
+TEST(Stream, ForwardsALargeRequestBodyAsItArrives) {
+  std::string body = NumberedText(300000);
   size_t half = 150000;
   for (bool chunks : {false, true}) {
-    Event first, done;
-    std::string seen, head;
-    Server backend([&](Wire& wire) {
-      head = wire.Until("\r\n\r\n");
-      wire.Until(30000);
-      first.Add();
+    Event first_half_received, done;
+    std::string received_body, head;
+    Server backend([&](Connection& connection) {
+      head = connection.ReadUntil("\r\n\r\n");
+      connection.ReadUntil(30000);
+      first_half_received.Notify();
       if (chunks) {
-        seen = Unchunked(wire);
-        wire.Until("\r\n");
+        received_body = ReadChunkedBody(connection);
+        connection.ReadUntil("\r\n");
       } else {
-        wire.Until(body.size());
-        seen = wire.unread;
+        connection.ReadUntil(body.size());
+        received_body = connection.unread;
       }
-      wire.Write(Ok("done"));
-      done.Add();
-      wire.Ended();
+      connection.Write(OkResponse("done"));
+      done.Notify();
+      connection.WaitForClose();
     });
-    Site site(json::array({Entry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0, kOps);
-    auto client = site.gateway->Connect();
+    GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}), {}, LEMONCHUTE_GATEWAY, 0,
+                           kAdminEnvironment);
+    auto client = fixture.gateway->Connect();
     client->Write(Request("send-lead", 1, 3000,
                           std::string("Expect: 100-Continue\r\n") +
                               (chunks ? "Transfer-Encoding: Chunked\r\n" : "Content-Length: 300000\r\n")));
-    EXPECT_EQ(client->Until("\r\n\r\n"), "HTTP/1.1 100 Continue\r\n\r\n");
-    client->Write(chunks ? Chunks(body.substr(0, half), 999) : body.substr(0, half));
-    ASSERT_TRUE(first.Wait()) << chunks;
-    EXPECT_EQ(Figure(site.gateway->ops_port, "tries"), 0) << "its last byte is not out";
-    client->Write(chunks ? Chunks(body.substr(half), 70000) + "0\r\nX-End: 1\r\n\r\n" : body.substr(half));
+    EXPECT_EQ(client->ReadUntil("\r\n\r\n"), "HTTP/1.1 100 Continue\r\n\r\n");
+    client->Write(chunks ? ChunkedBody(body.substr(0, half), 999) : body.substr(0, half));
+    ASSERT_TRUE(first_half_received.Wait()) << chunks;
+    EXPECT_EQ(ReadMetric(fixture.gateway->admin_port, "tries"), 0) << "the last byte is not written yet";
+    client->Write(chunks ? ChunkedBody(body.substr(half), 70000) + "0\r\nX-End: 1\r\n\r\n"
+                         : body.substr(half));
     EXPECT_EQ(client->Read().body, "done");
     ASSERT_TRUE(done.Wait());
-    EXPECT_EQ(seen, body) << chunks;
+    EXPECT_EQ(received_body, body) << chunks;
     EXPECT_NE(head.find("Request-Id: "), std::string::npos);
-    EXPECT_EQ(Figure(site.gateway->ops_port, "tries"), 1);
-    EXPECT_EQ(Ask(*client, kReady).status(), 200) << "kept";
+    EXPECT_EQ(ReadMetric(fixture.gateway->admin_port, "tries"), 1);
+    EXPECT_EQ(SendRequest(*client, kReadinessRequest).status(), 200) << "the connection must stay open";
   }
 }
 
-// A body that has gone out in part is not held, so it is not sent again; it has not run, so it is refused at
-// once.
-TEST(Stream, NeverSendsABodyAgainThatIsNotHeld) {
-  Server backend([](Wire& wire) { wire.Until(100000); });
-  Site site(json::array({Entry("s1", backend.port()), Entry("s2", backend.port())}));
-  auto client = site.gateway->Connect();
+// A body that was sent in part is not buffered, so the request is not retried. It has not run, so it is
+// rejected immediately with 503.
+TEST(Stream, DoesNotRetryARequestWhoseBodyIsNotBuffered) {
+  Server backend([](Connection& connection) { connection.ReadUntil(100000); });
+  GatewayFixture fixture(
+      json::array({EndpointEntry("s1", backend.port()), EndpointEntry("s2", backend.port())}));
+  auto client = fixture.gateway->Connect();
   client->Write(Request("save-scenario", 1, 600000, "Content-Length: 300000\r\n"));
-  client->Write(Long(200000));
-  Message answer = client->Read();
-  EXPECT_EQ(answer.status(), 503);
-  EXPECT_EQ(answer.Header("Connection"), "close");
+  client->Write(NumberedText(200000));
+  Message response = client->Read();
+  EXPECT_EQ(response.status(), 503);
+  EXPECT_EQ(response.Header("Connection"), "close");
   EXPECT_EQ(backend.connections, 1);
 }
 
-// Framing that another reader could take otherwise reaches no backend.
-TEST(Stream, RefusesFramingInDoubt) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}));
+// A request whose framing another parser could interpret differently is not forwarded.
+TEST(Stream, RejectsAmbiguousFraming) {
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
   std::string chunked = "Transfer-Encoding: chunked\r\n";
   for (std::string framing :
        {"Content-Length: 4\r\n" + chunked, chunked + "Content-Length: 4\r\n", chunked + chunked,
@@ -969,69 +1025,71 @@
         std::string("Transfer-Encoding: chunked, identity\r\n"),
         std::string("Content-Length: 4\r\nContent-Length: 5\r\n"), std::string("Content-Length: +4\r\n"),
         std::string("Content-Length : 4\r\n"), std::string("Transfer-Encoding: xchunked\r\n")}) {
-    auto client = site.gateway->Connect();
+    auto client = fixture.gateway->Connect();
     client->Write(Request("send-lead", 1, 3000, framing) + "0\r\n\r\nGET /quote HTTP/1.1\r\n");
     EXPECT_EQ(client->Read().status(), 400) << framing;
-    EXPECT_TRUE(client->Ended()) << framing;
+    EXPECT_TRUE(client->WaitForClose()) << framing;
   }
-  auto client = site.gateway->Connect();
-  std::string old = Request("send-lead", 1, 3000, chunked) + "0\r\n\r\n";
-  client->Write(old.replace(old.find("HTTP/1.1"), 8, "HTTP/1.0"));
+  auto client = fixture.gateway->Connect();
+  std::string http10_request = Request("send-lead", 1, 3000, chunked) + "0\r\n\r\n";
+  client->Write(http10_request.replace(http10_request.find("HTTP/1.1"), 8, "HTTP/1.0"));
   EXPECT_EQ(client->Read().status(), 400);
   EXPECT_EQ(backend.requests.count(), 0);
 }
 
-// Every connection is answered by the one process or the other: those that the old one took by the old one.
-TEST(Upgrade, TheNextProcessTakesOverAndNothingIsTurnedBack) {
-  Upgrade upgrade;
+// Every request is served by one of the two processes; the old one completes those that it has accepted.
+TEST(Upgrade, NewProcessTakesOverWithoutRejectingRequests) {
+  UpgradeFixture upgrade;
   auto old = upgrade.Start();
-  Upgrade::AwaitReady(*old);
-  auto waiting = old->Connect(), early = old->Connect();
-  EXPECT_EQ(Ask(*early, Request("quote")).status(), 200);
+  UpgradeFixture::AwaitReady(*old);
+  auto waiting = old->Connect(), idle = old->Connect();
+  EXPECT_EQ(SendRequest(*idle, Request("quote")).status(), 200);
   waiting->Write(Request("send-lead", 1, 3000, "", "wait"));
-  ASSERT_TRUE(upgrade.held.Wait());
+  ASSERT_TRUE(upgrade.request_held.Wait());
   auto next = upgrade.Start();
   EXPECT_EQ(next->port, old->port);
-  Upgrade::AwaitReady(*next);
-  EXPECT_EQ(Ask(*early, Request("quote")).status(), 200) << "beside the next one it serves on";
+  UpgradeFixture::AwaitReady(*next);
+  EXPECT_EQ(SendRequest(*idle, Request("quote")).status(), 200)
+      << "the old process still serves beside the new one";
   old->Signal(SIGTERM);
-  Message answer;
-  for (int i = 0; i < 3000 && answer.Header("Connection") != "close"; ++i)
-    answer = Ask(*early, Fresh("quote"));
-  EXPECT_EQ(answer.status(), 200);
-  for (int i = 0; i < 50; ++i) EXPECT_EQ(Ask(*next->Connect(), Fresh("quote")).status(), 200) << i;
-  upgrade.go.Add();
+  Message response;
+  for (int i = 0; i < 3000 && response.Header("Connection") != "close"; ++i)
+    response = SendRequest(*idle, RequestOfNewCustomer("quote"));
+  EXPECT_EQ(response.status(), 200);
+  for (int i = 0; i < 50; ++i)
+    EXPECT_EQ(SendRequest(*next->Connect(), RequestOfNewCustomer("quote")).status(), 200) << i;
+  upgrade.release.Notify();
   EXPECT_EQ(waiting->Read().status(), 200);
-  EXPECT_EQ(old->Exit(), 0);
+  EXPECT_EQ(old->WaitForExit(), 0);
   old.reset();
   auto client = next->Connect();
-  EXPECT_EQ(Ask(*client, Request("quote")).status(), 200) << "the shared socket goes on listening";
-  EXPECT_EQ(Figure(next->ops_port, "errors.quote"), 0);
+  EXPECT_EQ(SendRequest(*client, Request("quote")).status(), 200) << "the shared socket still listens";
+  EXPECT_EQ(ReadMetric(next->admin_port, "errors.quote"), 0);
 }
 
-// What an operator tells one process binds the other and the next, also after a kill.
-TEST(Upgrade, MaintenanceBindsBothProcesses) {
-  Upgrade upgrade;
+// A backend set offline at one process is offline at the other and at later processes, even after a SIGKILL.
+TEST(Upgrade, OfflineStateIsSharedByBothProcesses) {
+  UpgradeFixture upgrade;
   auto old = upgrade.Start();
-  Upgrade::AwaitReady(*old);
+  UpgradeFixture::AwaitReady(*old);
   auto next = upgrade.Start();
-  Upgrade::AwaitReady(*next);
-  EXPECT_EQ(Call(next->ops_port, "PUT", "/control/backends/s1/offline").status(), 200);
-  for (int i = 0; i < 3000 && Figure(old->ops_port, "pool_ejected") != 1; ++i) {
+  UpgradeFixture::AwaitReady(*next);
+  EXPECT_EQ(AdminCall(next->admin_port, "PUT", "/control/backends/s1/offline").status(), 200);
+  for (int i = 0; i < 3000 && ReadMetric(old->admin_port, "pool_ejected") != 1; ++i) {
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
-  EXPECT_EQ(Figure(old->ops_port, "pool_ejected"), 1);
+  EXPECT_EQ(ReadMetric(old->admin_port, "pool_ejected"), 1);
   next->Signal(SIGKILL);
-  EXPECT_EQ(next->Exit(), -SIGKILL);
-  EXPECT_EQ(Ask(*old->Connect(), Request("quote")).status(), 503);
+  EXPECT_EQ(next->WaitForExit(), -SIGKILL);
+  EXPECT_EQ(SendRequest(*old->Connect(), Request("quote")).status(), 503);
   next = upgrade.Start();
-  Upgrade::AwaitReady(*next);
-  EXPECT_EQ(Figure(next->ops_port, "pool_ejected"), 1);
+  UpgradeFixture::AwaitReady(*next);
+  EXPECT_EQ(ReadMetric(next->admin_port, "pool_ejected"), 1);
 }
 
-// A file that is there means nothing by itself; a lock on it ends with its holder.
-TEST(PeerProcess, IsSeenWhileItLives) {
-  Folder folder;
+// The process file alone does not show a running peer; the lock on it does, and it ends with the process.
+TEST(PeerProcess, IsDetectedOnlyWhileItRuns) {
+  TempFolder folder;
   std::ofstream(folder.path() + "/lb-processes") << "left behind";
   lemonchute::net::PeerProcess one(folder.path());
   EXPECT_FALSE(one.Alive());
@@ -1044,108 +1102,113 @@
   EXPECT_FALSE(lemonchute::net::PeerProcess("").Alive());
 }
 
-// Names of one hash get ids of their own, the same whatever order they come in.
-TEST(BackendIds, TellsNamesOfOneHashApart) {
+// Backend names with equal hashes get distinct ids, which do not depend on their order.
+TEST(BackendIds, AssignsDistinctIdsToCollidingNames) {
   lemonchute::net::BackendIds one([](std::string_view) { return 7u; }),
       two([](std::string_view) { return 7u; });
-  lemonchute::policy::SocketSettings site;
-  json ab = {{"index", 1}, {"snapshot", true}, {"endpoints", {Entry("a", 1), Entry("b", 2)}}};
-  json ba = {{"index", 1}, {"snapshot", true}, {"endpoints", {Entry("b", 2), Entry("a", 1)}}};
-  auto first = lemonchute::net::ParseBackendList(ab, site, &one),
-       second = lemonchute::net::ParseBackendList(ba, site, &two);
+  lemonchute::policy::SocketSettings socket_settings;
+  json forward = {
+      {"index", 1}, {"snapshot", true}, {"endpoints", {EndpointEntry("a", 1), EndpointEntry("b", 2)}}};
+  json reversed = {
+      {"index", 1}, {"snapshot", true}, {"endpoints", {EndpointEntry("b", 2), EndpointEntry("a", 1)}}};
+  auto first = lemonchute::net::ParseBackendList(forward, socket_settings, &one),
+       second = lemonchute::net::ParseBackendList(reversed, socket_settings, &two);
   EXPECT_NE(first.entries[0].backend.id, first.entries[1].backend.id);
   EXPECT_EQ(first.entries[0].backend.id, second.entries[1].backend.id);
   EXPECT_EQ(first.entries[1].backend.id, second.entries[0].backend.id);
 }
 
-// The client of the counter, driven directly: its loop runs until `done`.
-struct Calls {
-  Calls(int port, double timeout_s)
+// Drives a counter client directly: runs its event loop until `done`.
+struct CounterClientRunner {
+  CounterClientRunner(int port, double timeout_s)
       : client(io, {boost::asio::ip::address_v4::loopback(), static_cast<uint16_t>(port)}, timeout_s, 5,
-               [this](lemonchute::policy::CounterResponse a) { answers.push_back(a); }) {}
-  void Until(const std::function<bool()>& done) {
-    auto end = std::chrono::steady_clock::now() + std::chrono::seconds(kLimitS);
+               [this](lemonchute::policy::CounterResponse response) { responses.push_back(response); }) {}
+  void RunUntil(const std::function<bool()>& done) {
+    auto end = std::chrono::steady_clock::now() + std::chrono::seconds(kEventTimeoutS);
     while (!done() && std::chrono::steady_clock::now() < end) io.run_one_for(std::chrono::milliseconds(50));
     EXPECT_TRUE(done());
   }
   boost::asio::io_context io;
-  std::vector<lemonchute::policy::CounterResponse> answers;
+  std::vector<lemonchute::policy::CounterResponse> responses;
   lemonchute::net::CounterClient client;
 };
 
-// An answer past its call's time-out is matched to that call, not to the next one on the connection.
-TEST(CounterClient, MatchesAnswersInOrderAlsoLateOnes) {
-  Event go;
+// A reply that arrives after its call has timed out is matched to that call and not to the next one.
+TEST(CounterClient, MatchesLateRepliesToTheirOwnCalls) {
+  Event release;
   Counter counter([&](const std::string&, double amount) {
-    if (amount == 1) go.Wait();
-    return Bulk(std::to_string(amount));
+    if (amount == 1) release.Wait();
+    return BulkString(std::to_string(amount));
   });
-  Calls calls(counter.port(), 0.5);
-  calls.client.Call(11, 1, 5);
-  calls.Until([&] { return calls.answers.size() == 1; });
-  EXPECT_EQ(calls.answers[0].result, lemonchute::policy::AttemptResult::kTimeout) << "it may have been added";
-  go.Add();
+  CounterClientRunner runner(counter.port(), 0.5);
+  runner.client.Call(11, 1, 5);
+  runner.RunUntil([&] { return runner.responses.size() == 1; });
+  EXPECT_EQ(runner.responses[0].result, lemonchute::policy::AttemptResult::kTimeout)
+      << "the amount may have been added";
+  release.Notify();
   for (int i = 0; i < 20; ++i) {
-    calls.client.Call(20 + i, 2 + i, 5);
-    calls.Until([&] { return calls.answers.size() == 2 + static_cast<size_t>(i); });
-    if (calls.answers.back().result != lemonchute::policy::AttemptResult::kOk) continue;
-    EXPECT_EQ(calls.answers.back().counter_name, 20u + i);
-    EXPECT_EQ(calls.answers.back().total, 2.0 + i);
+    runner.client.Call(20 + i, 2 + i, 5);
+    runner.RunUntil([&] { return runner.responses.size() == 2 + static_cast<size_t>(i); });
+    if (runner.responses.back().result != lemonchute::policy::AttemptResult::kOk) continue;
+    EXPECT_EQ(runner.responses.back().counter_name, 20u + i);
+    EXPECT_EQ(runner.responses.back().total, 2.0 + i);
   }
 }
 
-TEST(CounterClient, TellsWhatWasNeverAddedFromWhatMayHaveBeen) {
+TEST(CounterClient, DistinguishesCallsNotAppliedFromThoseThatMayHaveBeen) {
   Counter busy([](const std::string&, double) { return std::string("-BUSY\r\n"); });
-  Calls turned_away(busy.port(), 30);
-  turned_away.client.Call(1, 1, 5);
-  turned_away.Until([&] { return turned_away.answers.size() == 1; });
-  EXPECT_EQ(turned_away.answers[0].result, lemonchute::policy::AttemptResult::kOverloaded);
+  CounterClientRunner overloaded(busy.port(), 30);
+  overloaded.client.Call(1, 1, 5);
+  overloaded.RunUntil([&] { return overloaded.responses.size() == 1; });
+  EXPECT_EQ(overloaded.responses[0].result, lemonchute::policy::AttemptResult::kOverloaded);
 
-  Calls refused(DeadPort(), 30);
+  CounterClientRunner refused(UnusedPort(), 30);
   for (int i = 0; i < 200; ++i) refused.client.Call(i, 1, 5);
-  refused.Until([&] { return refused.answers.size() == 200; });
-  for (const auto& a : refused.answers)
-    EXPECT_EQ(a.result, lemonchute::policy::AttemptResult::kConnectFailed);
+  refused.RunUntil([&] { return refused.responses.size() == 200; });
+  for (const auto& response : refused.responses)
+    EXPECT_EQ(response.result, lemonchute::policy::AttemptResult::kConnectFailed);
 
   Counter broken([](const std::string&, double) { return std::string("?\r\n"); });
-  Calls broke(broken.port(), 30);
-  broke.client.Call(1, 1, 5);
-  broke.Until([&] { return broke.answers.size() == 1; });
-  EXPECT_EQ(broke.answers[0].result, lemonchute::policy::AttemptResult::kTimeout);
+  CounterClientRunner failed(broken.port(), 30);
+  failed.client.Call(1, 1, 5);
+  failed.RunUntil([&] { return failed.responses.size() == 1; });
+  EXPECT_EQ(failed.responses[0].result, lemonchute::policy::AttemptResult::kTimeout);
 }
 
-// An unreadable answer ends its connection, not the dealings with a counter that has answered on it before.
-TEST(CounterClient, CallsOnAtOnceAfterAnUnreadableAnswer) {
+// An unreadable reply ends its connection, but the counter is called again without delay if it has replied on
+// that connection before.
+TEST(CounterClient, ContinuesImmediatelyAfterAnUnreadableReply) {
   std::atomic<int> seen{0};
-  Counter counter([&](const std::string&, double) { return ++seen % 2 == 1 ? Bulk("5") : "$3\r\nabc\r\n"; });
-  Calls calls(counter.port(), 30);
+  Counter counter(
+      [&](const std::string&, double) { return ++seen % 2 == 1 ? BulkString("5") : "$3\r\nabc\r\n"; });
+  CounterClientRunner runner(counter.port(), 30);
   for (size_t i = 0; i < 20; ++i) {
-    calls.client.Call(i, 1, 5);
-    calls.Until([&] { return calls.answers.size() == i + 1; });
-    EXPECT_EQ(calls.answers[i].result, i % 2 == 0 ? lemonchute::policy::AttemptResult::kOk
-                                                  : lemonchute::policy::AttemptResult::kTimeout)
+    runner.client.Call(i, 1, 5);
+    runner.RunUntil([&] { return runner.responses.size() == i + 1; });
+    EXPECT_EQ(runner.responses[i].result, i % 2 == 0 ? lemonchute::policy::AttemptResult::kOk
+                                                     : lemonchute::policy::AttemptResult::kTimeout)
         << i;
   }
 }
 
-// A silent counter: what is out is bounded, every call ends, and once it is silent for long the connections
-// are opened anew.
-TEST(CounterClient, BoundsItsQueuesAndReconnects) {
+// With a silent counter the number of calls in flight is limited, every call ends, and after a long silence
+// the connections are reopened.
+TEST(CounterClient, LimitsCallsInFlightAndReconnectsAfterALongSilence) {
   std::atomic<bool> silent{true};
-  Counter counter([&](const std::string&, double) { return silent ? std::string() : Bulk("5"); });
-  Calls calls(counter.port(), 0.05);
-  for (int i = 0; i < 5000; ++i) calls.client.Call(i, 1, 5);
-  calls.Until([&] { return calls.answers.size() == 5000; });
+  Counter counter([&](const std::string&, double) { return silent ? std::string() : BulkString("5"); });
+  CounterClientRunner runner(counter.port(), 0.05);
+  for (int i = 0; i < 5000; ++i) runner.client.Call(i, 1, 5);
+  runner.RunUntil([&] { return runner.responses.size() == 5000; });
   EXPECT_LE(counter.calls.count(), 32 * 64);
   EXPECT_LE(counter.connections(), 32);
   silent = false;
   uint64_t name = 10000;
-  calls.Until([&] {
-    if (calls.answers.back().result == lemonchute::policy::AttemptResult::kOk) return true;
-    calls.client.Call(++name, 1, 5);
-    size_t before = calls.answers.size();
-    calls.Until([&] { return calls.answers.size() > before; });
-    return calls.answers.back().result == lemonchute::policy::AttemptResult::kOk;
+  runner.RunUntil([&] {
+    if (runner.responses.back().result == lemonchute::policy::AttemptResult::kOk) return true;
+    runner.client.Call(++name, 1, 5);
+    size_t before = runner.responses.size();
+    runner.RunUntil([&] { return runner.responses.size() > before; });
+    return runner.responses.back().result == lemonchute::policy::AttemptResult::kOk;
   });
 }
 
--- a/tests/measure.cpp
+++ b/tests/measure.cpp
@@ -13,7 +13,7 @@
 constexpr int kBackends = 200, kCustomers = 20000, kClients = 8, kUpdates = 60;
 
 // The processor time that the process has used, in seconds.
-double CpuS(const Process& process) {
+double CpuS(const GatewayProcess& process) {
   std::ifstream in("/proc/" + std::to_string(process.pid()) + "/stat");
   std::string text((std::istreambuf_iterator<char>(in)), {});
   std::istringstream fields(text.substr(text.rfind(')') + 2));
@@ -26,7 +26,7 @@
 
 // Sends `requests` requests over kClients connections, each for the next of `customers` customers in turn.
 // @return how many were answered with status 200.
-int SendRequests(const Process& gateway, int requests, int customers) {
+int SendRequests(const GatewayProcess& gateway, int requests, int customers) {
   std::atomic<int> next_request{0}, served{0};
   std::vector<std::thread> clients;
   for (int c = 0; c < kClients; ++c) {
@@ -36,7 +36,7 @@
         std::string request = Request("quote");
         char customer[9];
         std::snprintf(customer, sizeof(customer), "%08x", i % customers + 1);
-        served += Ask(*wire, request.replace(request.find("b4d65521"), 8, customer)).status() == 200;
+        served += SendRequest(*wire, request.replace(request.find("b4d65521"), 8, customer)).status() == 200;
       }
     });
   }
@@ -50,18 +50,18 @@
 }
 
 int Measure(const char* program, const std::string& figure) {
-  Backend backend(Says(Ok("x")));
+  Backend backend(RespondsWith(OkResponse("x")));
   json entries = json::array();
   for (int i = 0; i < kBackends; ++i)
-    entries.push_back(Entry(std::string("s").append(std::to_string(i)), backend.port()));
-  Folder folder;
-  Process::Environment environment = kOps;
+    entries.push_back(EndpointEntry(std::string("s").append(std::to_string(i)), backend.port()));
+  TempFolder folder;
+  GatewayProcess::Environment environment = kAdminEnvironment;
   environment["TMPDIR"] = folder.path();
-  json config = Config(0, 0);
+  json config = DefaultConfig(0, 0);
   config["settings"]["specifics"]["may-count"] = false;
   config["settings"]["tiers-of-service"][1]["store-size"] = 8;
-  Site site(entries, config, program, 0, environment);
-  int admin_port = site.gateway->ops_port;
+  GatewayFixture site(entries, config, program, 0, environment);
+  int admin_port = site.gateway->admin_port;
   SendRequests(*site.gateway, kCustomers, kCustomers);
   if (figure == "cpu") {
     double cpu_before_s = CpuS(*site.gateway);
@@ -79,7 +79,7 @@
     auto wire = site.gateway->Connect();
     while (!done) {
       auto start = Clock::now();
-      Ask(*wire, kReady);
+      SendRequest(*wire, kReadinessRequest);
       std::lock_guard lock(mutex);
       longest_wait_ms = std::max(longest_wait_ms, ms(Clock::now() - start));
     }
@@ -88,7 +88,7 @@
     std::lock_guard lock(mutex);
     return std::exchange(longest_wait_ms, 0);
   };
-  json updated = json::parse(Call(admin_port, "GET", "/control/config/running").body);
+  json updated = json::parse(AdminCall(admin_port, "GET", "/control/config/running").body);
   std::vector<double> update_ms, idle_wait_ms, update_wait_ms;
   for (int i = 1; i <= kUpdates; ++i) {
     updated["settings"]["tiers-of-service"][0]["units-per-s"] = 10 + i % 5;  // changes every bucket
@@ -97,7 +97,8 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
     idle_wait_ms.push_back(take_longest_wait());
     auto start = Clock::now();
-    Message answer = Call(admin_port, "PUT", "/control/config?base=" + std::to_string(i), updated.dump());
+    Message answer =
+        AdminCall(admin_port, "PUT", "/control/config?base=" + std::to_string(i), updated.dump());
     update_ms.push_back(ms(Clock::now() - start));
     update_wait_ms.push_back(take_longest_wait());
     if (answer.status() != 200) std::printf("configuration update failed: %s\n", answer.body.c_str());
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -14,7 +14,7 @@
 
 bool IsPortFree(int port) {
   sockaddr_in at;
-  close(Loopback(&at, port));
+  close(MakeLoopbackSocket(&at, port));
   int fd = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
   bool free = bind(fd, reinterpret_cast<sockaddr*>(&at), sizeof(at)) == 0;
   close(fd);
@@ -25,7 +25,7 @@
   PeerFleet fleet(2, json());
   // A free port, so that a process that tried to bind it would succeed.
   sockaddr_in at;
-  close(Loopback(&at, 0));
+  close(MakeLoopbackSocket(&at, 0));
   int probe = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
   ASSERT_EQ(bind(probe, reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0);
   socklen_t size = sizeof(at);
@@ -36,7 +36,7 @@
   EXPECT_TRUE(IsPortFree(fleet.net.ListenPort(0)));
   json disabled_response = fleet.Members(0);
   EXPECT_EQ(disabled_response, (json{{"on", false}, {"speaks", false}}));
-  EXPECT_EQ(Call(fleet.gateways[0]->ops_port, "GET", "/control/counters").body.find("members"),
+  EXPECT_EQ(AdminCall(fleet.gateways[0]->admin_port, "GET", "/control/counters").body.find("members"),
             std::string::npos);
   EXPECT_EQ(fleet.net.SentCount(), 0);
   // Enabled by SIGHUP it takes part; disabled again it releases the address.
@@ -78,21 +78,21 @@
   fleet.gateways[1]->Signal(SIGCONT);
   EXPECT_SOON(fleet.AllSee(kAllMembers, 1, "alive") && fleet.Agree(kAllMembers));
   // A drain is a planned leave, and a return to service rejoins the fleet.
-  Call(fleet.gateways[3]->ops_port, "PUT", "/control/out-of-service");
+  AdminCall(fleet.gateways[3]->admin_port, "PUT", "/control/out-of-service");
   EXPECT_SOON(fleet.AllSee(kAllMembers, 3, "left") && fleet.Agree(kAllMembers));
-  Call(fleet.gateways[3]->ops_port, "PUT", "/control/in-service");
+  AdminCall(fleet.gateways[3]->admin_port, "PUT", "/control/in-service");
   EXPECT_SOON(fleet.AllSee(kAllMembers, 3, "alive") && fleet.Agree(kAllMembers));
   // SIGTERM is a planned leave too, and is never reported as a death.
   const std::vector<int> remaining = {0, 1, 2, 3};
   std::vector<long> deaths = fleet.DeathCounts(remaining);
   fleet.gateways[4]->Signal(SIGTERM);
-  EXPECT_EQ(fleet.gateways[4]->Exit(), 0);
+  EXPECT_EQ(fleet.gateways[4]->WaitForExit(), 0);
   fleet.gateways[4].reset();
   EXPECT_SOON(fleet.AllSee(remaining, 4, "left") && fleet.Agree(remaining));
   EXPECT_EQ(fleet.DeathCounts(remaining), deaths);
   fleet.gateways[0]->Signal(SIGTERM);
-  EXPECT_EQ(fleet.gateways[0]->Exit(), 0);
-  EXPECT_NE(fleet.gateways[0]->rest.find("members: 2 is dead"), std::string::npos);
+  EXPECT_EQ(fleet.gateways[0]->WaitForExit(), 0);
+  EXPECT_NE(fleet.gateways[0]->late_log.find("members: 2 is dead"), std::string::npos);
   fleet.gateways[0].reset();
   EXPECT_LE(fleet.net.longest_datagram(), 256u);
 }
@@ -125,7 +125,7 @@
   EXPECT_FALSE(PeerFleet::MembersOf(*replacement).at("speaks"));  // only one of the two processes takes part
   EXPECT_TRUE(fleet.Members(1).at("speaks"));
   fleet.gateways[1]->Signal(SIGTERM);
-  EXPECT_EQ(fleet.gateways[1]->Exit(), 0);
+  EXPECT_EQ(fleet.gateways[1]->WaitForExit(), 0);
   fleet.gateways[1] = std::move(replacement);
   EXPECT_SOON(fleet.Agree({0, 1, 2}));
   // The same if the old process is killed.
@@ -147,7 +147,7 @@
   // Two members have the longer list and two do not yet; that causes no deaths.
   EXPECT_SOON(fleet.StateSeenBy(0, 3) == "alive" && Incarnation(fleet, 0, 3) > 0);
   EXPECT_EQ(fleet.Members(1).at("members").size(), 3u);
-  EXPECT_SOON(Figure(fleet.gateways[1]->ops_port, "members_dropped_stranger") > 0);
+  EXPECT_SOON(ReadMetric(fleet.gateways[1]->admin_port, "members_dropped_stranger") > 0);
   for (int member : {1, 2})
     fleet.gateways[static_cast<size_t>(member)]->Reconfigure(fleet.ConfigOf(member, 4));
   EXPECT_SOON(fleet.Agree({0, 1, 2, 3}) && fleet.Members(1).at("states").at("alive") == 4);
@@ -163,9 +163,9 @@
   fleet.StartAll();
   ASSERT_SOON(fleet.Agree({0, 1, 2}));
   std::string valid = fleet.net.LastDatagram(1), other_member = fleet.net.LastDatagram(2);
-  int ops = fleet.gateways[0]->ops_port;
+  int ops = fleet.gateways[0]->admin_port;
   auto dropped = [&](const std::string& reason, long least) {
-    return Figure(ops, "members_dropped_" + reason) >= least;
+    return ReadMetric(ops, "members_dropped_" + reason) >= least;
   };
   auto with_byte = [&](size_t at, char to) {
     std::string bytes = valid;
@@ -192,7 +192,7 @@
   EXPECT_LT(fleet.net.SentCount() - sent_before, 10000);
   EXPECT_SOON(fleet.Agree({0, 1, 2}) && fleet.Members(0).at("states").at("alive") == 3);
   auto client = fleet.gateways[0]->Connect();
-  EXPECT_EQ(Ask(*client, kReady).status(), 200);
+  EXPECT_EQ(SendRequest(*client, kReadinessRequest).status(), 200);
 }
 
 TEST(Members, DuplicateMemberNumbersAreReportedWithoutRepeatedRefutation) {
@@ -205,17 +205,17 @@
   copied["peer_listen"] = fleet.ConfigOf(0).at("peer_listen");
   fleet.Start(0, copied);
   fleet.net.SetListenPort(0, std::stoi(copied.at("peer_listen").get<std::string>().substr(10)));
-  EXPECT_SOON(Figure(fleet.gateways[1]->ops_port, "members_dropped_misnumbered") > 0);
-  EXPECT_SOON(Figure(fleet.gateways[0]->ops_port, "members_dropped_claimed") > 0);
+  EXPECT_SOON(ReadMetric(fleet.gateways[1]->admin_port, "members_dropped_misnumbered") > 0);
+  EXPECT_SOON(ReadMetric(fleet.gateways[0]->admin_port, "members_dropped_claimed") > 0);
   EXPECT_SOON(fleet.Members(0).at("verdict") == "cut off");
   EXPECT_SOON(fleet.Agree({1, 2, 3}) && fleet.AllSee({1, 2, 3}, 2, "alive") &&
               fleet.AllSee({1, 2, 3}, 0, "dead"));
   // The real member keeps its incarnation, however long the other process claims its number.
   uint32_t incarnation_before = Incarnation(fleet, 1, 2);
-  long refuted_before = Figure(fleet.gateways[2]->ops_port, "members_refuted");
-  long heard_before = Figure(fleet.gateways[2]->ops_port, "members_heard");
-  EXPECT_SOON(Figure(fleet.gateways[2]->ops_port, "members_heard") > heard_before + 100);
-  EXPECT_LE(Figure(fleet.gateways[2]->ops_port, "members_refuted"), refuted_before + 1);
+  long refuted_before = ReadMetric(fleet.gateways[2]->admin_port, "members_refuted");
+  long heard_before = ReadMetric(fleet.gateways[2]->admin_port, "members_heard");
+  EXPECT_SOON(ReadMetric(fleet.gateways[2]->admin_port, "members_heard") > heard_before + 100);
+  EXPECT_LE(ReadMetric(fleet.gateways[2]->admin_port, "members_refuted"), refuted_before + 1);
   EXPECT_LE(Incarnation(fleet, 1, 2), incarnation_before + 1);
 }
 
@@ -243,8 +243,8 @@
     json config = fleet.ConfigOf(0);
     test_case.invalidate(config);
     auto process = fleet.NewProcess(config, 0);
-    EXPECT_EQ(process->Exit(), 1) << test_case.expected_error;
-    EXPECT_NE(process->line.find(test_case.expected_error), std::string::npos) << process->line;
+    EXPECT_EQ(process->WaitForExit(), 1) << test_case.expected_error;
+    EXPECT_NE(process->listen_line.find(test_case.expected_error), std::string::npos) << process->listen_line;
   }
 }
 
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -15,7 +15,7 @@
 using lemonchute::net::RevisionLog;
 
 json ValidConfig(int max_attempts = 6) {
-  json config = Config(1, 1);
+  json config = DefaultConfig(1, 1);
   config["listen"] = "127.0.0.1:5000";
   config["settings"]["tiers-of-service"][1]["store-size"] = 8;  // holds the largest request
   config["settings"]["limits"]["try-limit"] = max_attempts;
@@ -39,7 +39,7 @@
 
 // A ConfigurationManager without a gateway: a commit only stores the document in `running_config`.
 struct ManagerFixture {
-  explicit ManagerFixture(const Folder& folder, const json& file = ValidConfig(),
+  explicit ManagerFixture(const TempFolder& folder, const json& file = ValidConfig(),
                           RevisionLog::FailureInjector failure_injector = {})
       : path(folder.path() + "/file"), manager(io, path, folder.path(), std::move(failure_injector)) {
     if (!file.is_null()) ReplaceFile(path, file.dump());
@@ -66,7 +66,7 @@
   }
   int MaxAttempts() const { return running_config["settings"]["limits"]["try-limit"].get<int>(); }
   void RunUntil(const std::function<bool()>& done) {
-    auto end = std::chrono::steady_clock::now() + std::chrono::seconds(kLimitS);
+    auto end = std::chrono::steady_clock::now() + std::chrono::seconds(kEventTimeoutS);
     while (!done() && std::chrono::steady_clock::now() < end) {
       io.restart();
       io.run_one_for(std::chrono::milliseconds(50));
@@ -86,7 +86,7 @@
 }
 
 TEST(ConfigurationManager, AppliesConfirmsExpiresAndRollsBackUpdates) {
-  Folder folder;
+  TempFolder folder;
   ManagerFixture fixture(folder);
   EXPECT_EQ(fixture.Call("PUT", BaseQuery(fixture.Summary()), ValidConfig(5)).status, 200);
   EXPECT_EQ(fixture.MaxAttempts(), 5);
@@ -115,7 +115,7 @@
 }
 
 TEST(ConfigurationManager, RejectionsGiveTheirReasonAndChangeNothing) {
-  Folder folder;
+  TempFolder folder;
   ManagerFixture fixture(folder);
   json invalid = ValidConfig(5);
   invalid["settings"]["limits"].erase("cancel");
@@ -156,7 +156,7 @@
 }
 
 TEST(ConfigurationManager, CheckChangesNothing) {
-  Folder folder;
+  TempFolder folder;
   ManagerFixture fixture(folder);
   const auto before = ReadFolder(folder.path());
   lemonchute::net::AdminResponse response = fixture.Call("POST", "/check", ValidConfig(5));
@@ -177,7 +177,7 @@
   for (auto step : {RevisionLog::Step::kOpen, RevisionLog::Step::kWrite, RevisionLog::Step::kSync,
                     RevisionLog::Step::kRename}) {
     for (int error : {ENOSPC, EROFS, EIO}) {
-      Folder folder;
+      TempFolder folder;
       bool injecting = false;
       ManagerFixture fixture(folder, ValidConfig(), [&](RevisionLog::Step current) {
         return injecting && current == step ? error : 0;
@@ -198,7 +198,7 @@
       EXPECT_EQ(fixture.MaxAttempts(), 5);
     }
   }
-  Folder folder;
+  TempFolder folder;
   ManagerFixture fixture(folder);
   const auto before = ReadFolder(folder.path());
   fixture.fail_prepare = true;  // the preparation fails
@@ -216,7 +216,7 @@
 // A file from the platform is applied even if the revision log can't be written; the write is retried until
 // it succeeds.
 TEST(ConfigurationManager, SighupIsAppliedOnAFullDisk) {
-  Folder folder;
+  TempFolder folder;
   bool injecting = false;
   ManagerFixture fixture(folder, ValidConfig(), [&](RevisionLog::Step step) {
     return injecting && step == RevisionLog::Step::kWrite ? ENOSPC : 0;
@@ -238,7 +238,7 @@
 }
 
 TEST(ConfigurationManager, SighupEndsATrialAndOutdatesTheBaseOfAPut) {
-  Folder folder;
+  TempFolder folder;
   ManagerFixture fixture(folder);
   EXPECT_EQ(fixture.Call("PUT", "?base=1&confirm_s=0.05", ValidConfig(5)).status, 200);
   ReplaceFile(fixture.path, ValidConfig(4).dump());
@@ -248,7 +248,8 @@
   EXPECT_EQ(fixture.Call("PUT", "?base=2", ValidConfig(3)).status, 409) << "its base revision no longer runs";
   fixture.io.poll();  // runs the handler of the cancelled timer
   fixture.io.restart();
-  EXPECT_EQ(fixture.io.run_one_for(std::chrono::seconds(kLimitS)), 0u) << "the trial's timer is cancelled";
+  EXPECT_EQ(fixture.io.run_one_for(std::chrono::seconds(kEventTimeoutS)), 0u)
+      << "the trial's timer is cancelled";
   fixture.manager.OnReloadSignal();
   fixture.manager.OnReloadSignal();
   EXPECT_EQ(fixture.Metric("config_applied"), 3);
@@ -258,7 +259,7 @@
 // If the rollback of an expired trial fails, the running revision becomes permanent and the rollback is not
 // retried.
 TEST(ConfigurationManager, FailedRollbackEndsTheTrialAndKeepsTheRevision) {
-  Folder folder;
+  TempFolder folder;
   ManagerFixture fixture(folder);
   EXPECT_EQ(fixture.Call("PUT", "?base=1&confirm_s=0.02", ValidConfig(5)).status, 200);
   fixture.fail_prepare = true;
@@ -271,7 +272,7 @@
 TEST(ConfigurationManager, StartsWithTheLastGoodRevisionIfTheFileIsBroken) {
   for (const std::string& broken : {std::string(), std::string("{\"name\": "),
                                     ValidConfig().dump().substr(0, 400), json{{"name", "x"}}.dump()}) {
-    Folder folder;
+    TempFolder folder;
     { ManagerFixture fixture(folder); }
     ReplaceFile(folder.path() + "/file", broken);
     ManagerFixture next(folder, nullptr);
@@ -290,7 +291,7 @@
 
 TEST(ConfigurationManager, DoesNotStartWithoutAValidFileOrRevisionLog) {
   for (const char* record : {"", "{}", "not a record\n"}) {
-    Folder folder;
+    TempFolder folder;
     ReplaceFile(folder.path() + "/lb-config.json", record);
     EXPECT_THROW(ManagerFixture(folder, nullptr), lemonchute::policy::ProtocolError);
     ManagerFixture fixture(folder);
@@ -301,7 +302,7 @@
 // Two processes of one gateway converge on the same revision whichever of them is updated, and a trial
 // expires in time whichever of them is still alive.
 TEST(ConfigurationManager, TwoProcessesConvergeOnTheSameRevision) {
-  Folder folder;
+  TempFolder folder;
   auto old = std::make_unique<ManagerFixture>(folder);
   EXPECT_EQ(old->Call("PUT", "?base=1&confirm_s=3600", ValidConfig(5)).status, 200);
   ManagerFixture next(folder, nullptr);
@@ -332,7 +333,7 @@
 }
 
 TEST(ConfigurationManager, PutsGet503WhileAnotherProcessHoldsTheLock) {
-  Folder folder;
+  TempFolder folder;
   ManagerFixture fixture(folder);
   RevisionLog other(folder.path());
   std::optional<RevisionLog::Lock> lock;
@@ -348,7 +349,7 @@
 }
 
 TEST(ConfigurationManager, AfterSigtermOnlyTheFileChangesTheConfiguration) {
-  Folder folder;
+  TempFolder folder;
   ManagerFixture fixture(folder);
   fixture.manager.StopUpdates();
   EXPECT_EQ(fixture.Call("PUT", "?base=1", ValidConfig(5)).status, 409);
@@ -359,7 +360,7 @@
 
 // A file beyond the size limit is rejected without being read.
 TEST(ConfigurationManager, RejectsAFileOfAHundredMegabytesAtOnce) {
-  Folder folder;
+  TempFolder folder;
   ManagerFixture fixture(folder);
   int file = open((fixture.path + ".big").c_str(), O_WRONLY | O_CREAT, 0600);
   ASSERT_EQ(ftruncate(file, 100 << 20), 0);
@@ -377,27 +378,28 @@
   config["listen"] = "127.0.0.1:0";
   return config;
 }
-json ConfigFor(const Site& site, int max_attempts = 6) {
+json ConfigFor(const GatewayFixture& site, int max_attempts = 6) {
   json config = StartableConfig(max_attempts);
   config["discovery"] = "127.0.0.1:" + std::to_string(site.discovery.port());
   config["counter"] = "127.0.0.1:" + std::to_string(site.counter.port());
   return config;
 }
 json GetConfig(int admin_port, const std::string& target = "") {
-  return json::parse(Call(admin_port, "GET", "/control/config" + target).body);
+  return json::parse(AdminCall(admin_port, "GET", "/control/config" + target).body);
 }
 Message PutConfig(int admin_port, const json& config, const std::string& parameters = "") {
   std::string base_revision = GetConfig(admin_port)["running"].dump();
-  return Call(admin_port, "PUT", "/control/config?base=" + base_revision + parameters, config.dump());
+  return AdminCall(admin_port, "PUT", "/control/config?base=" + base_revision + parameters, config.dump());
 }
 
 TEST(AdminEndpoint, LimitsBodiesAndRejectsMalformedRequests) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}), StartableConfig(), LEMONCHUTE_GATEWAY, 0, kOps);
-  int admin_port = site.gateway->ops_port;
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}), StartableConfig(),
+                      LEMONCHUTE_GATEWAY, 0, kAdminEnvironment);
+  int admin_port = site.gateway->admin_port;
   auto status = [&](const std::string& text) {
-    auto caller = Wire::To(admin_port);
-    return Ask(*caller, text).status();
+    auto caller = Connection::ConnectTo(admin_port);
+    return SendRequest(*caller, text).status();
   };
   const std::string put = "PUT /control/config?base=1 HTTP/1.1\r\nHost: ops\r\n";
   EXPECT_EQ(status(put + "\r\n"), 411);
@@ -417,15 +419,15 @@
     std::snprintf(size, sizeof(size), "%zx\r\n", part.size());
     chunks += size + part + "\r\n";
   }
-  std::vector<std::unique_ptr<Wire>> callers;  // slow callers that never complete their bodies
+  std::vector<std::unique_ptr<Connection>> callers;  // slow callers that never complete their bodies
   for (int i = 0; i < 40; ++i) {
-    callers.push_back(Wire::To(admin_port));
+    callers.push_back(Connection::ConnectTo(admin_port));
     callers.back()->Write(put + "Content-Length: 100000\r\n\r\n{\"name\"");
   }
   EXPECT_EQ(status(put + "Transfer-Encoding: chunked\r\n\r\n" + chunks + "0\r\n\r\n"), 200);
   EXPECT_EQ(GetConfig(admin_port, "/running"), fresh);
   EXPECT_EQ(GetConfig(admin_port, "/revisions/1")["settings"]["limits"]["try-limit"], 6);
-  EXPECT_EQ(Figure(admin_port, "config_revision"), 2);
+  EXPECT_EQ(ReadMetric(admin_port, "config_revision"), 2);
 }
 
 // Changed limits, zones and plans apply at once, and a customer of a removed plan continues under another
@@ -435,16 +437,16 @@
   // preference for its own zone. At each of the requests below at least one far backend has not answered yet,
   // and costs less than any near backend whatever latency has been measured.
   constexpr int kFarBackends = 12;
-  Backend near(Says(Ok("near"))), far(Says(Ok("far")));
-  json entries = json::array({Entry("s1", near.port())});
+  Backend near(RespondsWith(OkResponse("near"))), far(RespondsWith(OkResponse("far")));
+  json entries = json::array({EndpointEntry("s1", near.port())});
   for (int i = 0; i < kFarBackends; ++i) {
-    entries.push_back(Entry(std::string("t").append(std::to_string(i)), far.port()));
+    entries.push_back(EndpointEntry(std::string("t").append(std::to_string(i)), far.port()));
     entries.back()["zone"] = "c";
   }
-  Site site(entries, StartableConfig(), LEMONCHUTE_GATEWAY, 0, kOps);
-  int admin_port = site.gateway->ops_port;
+  GatewayFixture site(entries, StartableConfig(), LEMONCHUTE_GATEWAY, 0, kAdminEnvironment);
+  int admin_port = site.gateway->admin_port;
   auto client = site.gateway->Connect();
-  EXPECT_EQ(Ask(*client, Request("quote")).status(), 200);
+  EXPECT_EQ(SendRequest(*client, Request("quote")).status(), 200);
   json config = GetConfig(admin_port, "/running");
   config["settings"]["zones"] = {"b", "c"};
   config["settings"]["zone"] = 1;  // the zone of the far backends
@@ -453,67 +455,68 @@
   config["settings"]["tiers-of-service"][0]["units-per-s"] = 100;
   config["settings"]["tiers-of-service"][0]["store-size"] = 400;
   config["limits"]["sockets"] = 512;
-  int lists_before = site.discovery.relisted.count();
+  int lists_before = site.discovery.full_lists_applied.count();
   Message response = PutConfig(admin_port, config);
   ASSERT_EQ(response.status(), 200) << response.body;
-  ASSERT_TRUE(site.discovery.relisted.Wait(lists_before + 1)) << "parsed again with the new zone names";
-  EXPECT_EQ(Ask(*client, Request("quote")).status(), 400) << "plan business is removed";
+  ASSERT_TRUE(site.discovery.full_lists_applied.Wait(lists_before + 1))
+      << "parsed again with the new zone names";
+  EXPECT_EQ(SendRequest(*client, Request("quote")).status(), 400) << "plan business is removed";
   for (int i = 0; i < kFarBackends; ++i) {
     std::string request = Request("quote");  // the same customer
-    response = Ask(*client, request.replace(request.find("business"), 8, "gold"));
+    response = SendRequest(*client, request.replace(request.find("business"), 8, "gold"));
     EXPECT_EQ(response.status(), 200);
     EXPECT_EQ(response.body, "far") << "prefers its own zone: " << i;
   }
-  EXPECT_EQ(Call(admin_port, "PUT", "/control/config/rollback").status(), 200);
-  EXPECT_EQ(Ask(*client, Request("quote")).status(), 200);
+  EXPECT_EQ(AdminCall(admin_port, "PUT", "/control/config/rollback").status(), 200);
+  EXPECT_EQ(SendRequest(*client, Request("quote")).status(), 200);
 }
 
 // Descriptors limit the connections to backends. A raised limit is used at once.
 TEST(Reload, RaisedDescriptorLimitAppliesAtOnce) {
   Event held, go;
-  Backend backend([&](const Message&, Wire&) { return held.Add(), go.Wait(), Ok("x"); });
+  Backend backend([&](const Message&, Connection&) { return held.Notify(), go.Wait(), OkResponse("x"); });
   json config = StartableConfig(), entries = json::array();
   config["limits"]["sockets"] = 64;  // of which 8 are for backends
   for (const char* name : {"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"}) {
-    entries.push_back(Entry(name, backend.port()));
+    entries.push_back(EndpointEntry(name, backend.port()));
   }
-  Site site(entries, config, LEMONCHUTE_GATEWAY, 0, kOps);
-  std::vector<std::unique_ptr<Wire>> clients;
+  GatewayFixture site(entries, config, LEMONCHUTE_GATEWAY, 0, kAdminEnvironment);
+  std::vector<std::unique_ptr<Connection>> clients;
   auto hold = [&](int expected_held) {
     clients.push_back(site.gateway->Connect());
-    clients.back()->Write(Fresh("send-lead"));
+    clients.back()->Write(RequestOfNewCustomer("send-lead"));
     return held.Wait(expected_held);
   };
   for (int i = 1; i <= 8; ++i) ASSERT_TRUE(hold(i));
-  EXPECT_EQ(Ask(*site.gateway->Connect(), Fresh("send-lead")).status(), 503);
-  json raised = GetConfig(site.gateway->ops_port, "/running");
+  EXPECT_EQ(SendRequest(*site.gateway->Connect(), RequestOfNewCustomer("send-lead")).status(), 503);
+  json raised = GetConfig(site.gateway->admin_port, "/running");
   raised["limits"]["sockets"] = 256;
-  EXPECT_EQ(PutConfig(site.gateway->ops_port, raised).status(), 200);
+  EXPECT_EQ(PutConfig(site.gateway->admin_port, raised).status(), 200);
   EXPECT_TRUE(hold(9));
-  go.Add();
+  go.Notify();
   for (auto& client : clients) EXPECT_EQ(client->Read().status(), 200);
 }
 
 // With a broken file, a gateway starts with the last good configuration, logs that and becomes ready.
 TEST(Reload, StartsWithTheLastGoodConfigurationIfTheFileIsBroken) {
-  Folder folder;
-  Process::Environment environment = kOps;
+  TempFolder folder;
+  GatewayProcess::Environment environment = kAdminEnvironment;
   environment["TMPDIR"] = folder.path();
-  Backend backend(Says(Ok("x")));
+  Backend backend(RespondsWith(OkResponse("x")));
   Discovery discovery;
-  discovery.Set(json::array({Entry("s1", backend.port())}));
-  json config = Config(discovery.port(), 1);
-  { Process first(config, LEMONCHUTE_GATEWAY, 0, environment); }
-  Process gateway(std::string("{\"name\": \"n0\", "), LEMONCHUTE_GATEWAY, 0, environment);
-  ASSERT_NE(gateway.port, 0) << gateway.line;
-  EXPECT_NE(gateway.earlier.find("LAST GOOD CONFIGURATION"), std::string::npos) << gateway.earlier;
-  Upgrade::AwaitReady(gateway);
-  EXPECT_EQ(Ask(*gateway.Connect(), Request("quote")).body, "x");
-  EXPECT_EQ(Figure(gateway.ops_port, "config_started_by_record"), 1);
+  discovery.SetList(json::array({EndpointEntry("s1", backend.port())}));
+  json config = DefaultConfig(discovery.port(), 1);
+  { GatewayProcess first(config, LEMONCHUTE_GATEWAY, 0, environment); }
+  GatewayProcess gateway(std::string("{\"name\": \"n0\", "), LEMONCHUTE_GATEWAY, 0, environment);
+  ASSERT_NE(gateway.port, 0) << gateway.listen_line;
+  EXPECT_NE(gateway.early_log.find("LAST GOOD CONFIGURATION"), std::string::npos) << gateway.early_log;
+  UpgradeFixture::AwaitReady(gateway);
+  EXPECT_EQ(SendRequest(*gateway.Connect(), Request("quote")).body, "x");
+  EXPECT_EQ(ReadMetric(gateway.admin_port, "config_started_by_record"), 1);
 }
 
 TEST(Reload, ChecksAFileWithoutListening) {
-  Folder folder;
+  TempFolder folder;
   std::string path = folder.path() + "/file";
   auto check = [&](const std::string& text) {
     ReplaceFile(path, text);
@@ -539,53 +542,54 @@
 // SIGHUP is handled during a drain and during shutdown.
 TEST(Reload, SighupIsAppliedWhileDrainingAndShuttingDown) {
   Event held, go;
-  Backend backend([&](const Message& request, Wire&) {
-    if (request.body == "wait") held.Add(), go.Wait();
-    return Ok("x");
+  Backend backend([&](const Message& request, Connection&) {
+    if (request.body == "wait") held.Notify(), go.Wait();
+    return OkResponse("x");
   });
-  Site site(json::array({Entry("s1", backend.port())}), StartableConfig(), LEMONCHUTE_GATEWAY, 0, kOps);
-  int admin_port = site.gateway->ops_port;
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}), StartableConfig(),
+                      LEMONCHUTE_GATEWAY, 0, kAdminEnvironment);
+  int admin_port = site.gateway->admin_port;
   auto waiting = site.gateway->Connect(), client = site.gateway->Connect();
-  EXPECT_EQ(Call(admin_port, "PUT", "/control/out-of-service").status(), 200);
+  EXPECT_EQ(AdminCall(admin_port, "PUT", "/control/out-of-service").status(), 200);
   json config = ConfigFor(site, 3);
   site.gateway->Reconfigure(config);
-  AwaitFigure(admin_port, "config_applied", 1);
-  EXPECT_EQ(Call(admin_port, "PUT", "/control/in-service").status(), 200);
-  EXPECT_EQ(Ask(*client, kReady).status(), 200);
+  AwaitMetric(admin_port, "config_applied", 1);
+  EXPECT_EQ(AdminCall(admin_port, "PUT", "/control/in-service").status(), 200);
+  EXPECT_EQ(SendRequest(*client, kReadinessRequest).status(), 200);
   waiting->Write(Request("send-lead", 1, 3000, "", "wait"));
   ASSERT_TRUE(held.Wait());
   site.gateway->Signal(SIGTERM);
-  for (int i = 0; i < 3000 && Call(admin_port, "PUT", "/control/in-service").status() != 409; ++i) {
+  for (int i = 0; i < 3000 && AdminCall(admin_port, "PUT", "/control/in-service").status() != 409; ++i) {
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
   EXPECT_EQ(PutConfig(admin_port, ConfigFor(site, 2)).status(), 409);
   site.gateway->Reconfigure(ConfigFor(site, 4));
-  AwaitFigure(admin_port, "config_applied", 2);
-  go.Add();
+  AwaitMetric(admin_port, "config_applied", 2);
+  go.Notify();
   EXPECT_EQ(waiting->Read().status(), 200);
-  EXPECT_EQ(site.gateway->Exit(), 0);
+  EXPECT_EQ(site.gateway->WaitForExit(), 0);
 }
 
 // Two processes of an upgrade: a put on trial outlives the old one, and is taken back in time by the new one.
 TEST(Upgrade, BothProcessesConvergeOnTheSameRevision) {
-  Upgrade upgrade;
+  UpgradeFixture upgrade;
   auto old = upgrade.Start();
-  Upgrade::AwaitReady(*old);
-  json config = GetConfig(old->ops_port, "/running");
+  UpgradeFixture::AwaitReady(*old);
+  json config = GetConfig(old->admin_port, "/running");
   config["settings"]["tiers-of-service"][1]["store-size"] = 8;
-  EXPECT_EQ(PutConfig(old->ops_port, config).status(), 200);
+  EXPECT_EQ(PutConfig(old->admin_port, config).status(), 200);
   auto next = upgrade.Start();
-  Upgrade::AwaitReady(*next);
-  EXPECT_EQ(Figure(next->ops_port, "config_revision"), 2);
+  UpgradeFixture::AwaitReady(*next);
+  EXPECT_EQ(ReadMetric(next->admin_port, "config_revision"), 2);
   config["settings"]["limits"]["try-limit"] = 2;
-  EXPECT_EQ(PutConfig(next->ops_port, config, "&confirm_s=1").status(), 200);
-  AwaitFigure(old->ops_port, "config_revision", 3);
-  EXPECT_EQ(GetConfig(old->ops_port)["history"], GetConfig(next->ops_port)["history"]);
+  EXPECT_EQ(PutConfig(next->admin_port, config, "&confirm_s=1").status(), 200);
+  AwaitMetric(old->admin_port, "config_revision", 3);
+  EXPECT_EQ(GetConfig(old->admin_port)["history"], GetConfig(next->admin_port)["history"]);
   next->Signal(SIGKILL);
-  EXPECT_EQ(next->Exit(), -SIGKILL);
-  AwaitFigure(old->ops_port, "config_revision", 4);
-  EXPECT_EQ(GetConfig(old->ops_port)["history"][0]["from"], "return");
-  EXPECT_EQ(GetConfig(old->ops_port, "/running")["settings"]["limits"]["try-limit"], 6);
+  EXPECT_EQ(next->WaitForExit(), -SIGKILL);
+  AwaitMetric(old->admin_port, "config_revision", 4);
+  EXPECT_EQ(GetConfig(old->admin_port)["history"][0]["from"], "return");
+  EXPECT_EQ(GetConfig(old->admin_port, "/running")["settings"]["limits"]["try-limit"], 6);
 }
 
 // Under load, revisions are put, confirmed, left to expire, rolled back and replaced by files at random. Each
@@ -594,20 +598,21 @@
   for (unsigned seed : {1u, 2u, 3u}) {
     std::mutex mutex;
     std::map<std::string, int> attempts_by_id;
-    Backend backend([&](const Message& request, Wire&) {
+    Backend backend([&](const Message& request, Connection&) {
       std::lock_guard lock(mutex);
       ++attempts_by_id[request.Header("Request-Id")];
-      return Ok(request.Header("Request-Id"));
+      return OkResponse(request.Header("Request-Id"));
     });
-    Folder folder;
-    Process::Environment environment = kOps;
+    TempFolder folder;
+    GatewayProcess::Environment environment = kAdminEnvironment;
     environment["TMPDIR"] = folder.path();
     json initial = StartableConfig();
     json& plan = initial["settings"]["tiers-of-service"][0];
     plan["units-per-s"] = 1e6;
     plan["store-size"] = 1e6;
-    Site site(json::array({Entry("s1", backend.port())}), initial, LEMONCHUTE_GATEWAY, 0, environment);
-    int admin_port = site.gateway->ops_port;
+    GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}), initial, LEMONCHUTE_GATEWAY, 0,
+                        environment);
+    int admin_port = site.gateway->admin_port;
     std::atomic<bool> done{false};
     std::atomic<int> ok_responses{0}, other_responses{0}, wrong_responses{0};
     std::vector<std::thread> clients;
@@ -621,12 +626,12 @@
           if (i % 7 == client) request.replace(0, 3, "POST");
           size_t at = request.find("Request-Id: ") + 12;
           std::string id = request.substr(at, request.find('\r', at) - at);
-          Message response = Ask(*wire, request);
+          Message response = SendRequest(*wire, request);
           int status = response.status();
           bool allowed = status == 200 || status == 400 || status == 405 || status == 429 || status == 503;
           if (!allowed || (status == 200 && response.body != id)) ++wrong_responses;
           ++(status == 200 ? ok_responses : other_responses);
-          if (!wire->Open()) wire = site.gateway->Connect();
+          if (!wire->IsOpen()) wire = site.gateway->Connect();
         }
       });
     }
@@ -649,17 +654,17 @@
       }
       switch (random() % 5) {
         case 0: {
-          long applied = Figure(admin_port, "config_applied");
+          long applied = ReadMetric(admin_port, "config_applied");
           site.gateway->Reconfigure(config);
-          AwaitFigure(admin_port, "config_applied", applied + 1);
+          AwaitMetric(admin_port, "config_applied", applied + 1);
           break;
         }
-        case 1: Call(admin_port, "PUT", "/control/config/rollback"); break;
+        case 1: AdminCall(admin_port, "PUT", "/control/config/rollback"); break;
         case 2: put(config, "&confirm_s=0.01"); break;
         case 3:
           put(config, "&confirm_s=60");
-          Call(admin_port, "PUT",
-               "/control/config/confirm?revision=" + GetConfig(admin_port)["running"].dump());
+          AdminCall(admin_port, "PUT",
+                    "/control/config/confirm?revision=" + GetConfig(admin_port)["running"].dump());
           break;
         default: put(config, "");
       }
@@ -671,25 +676,26 @@
     EXPECT_GT(other_responses, 0);
     EXPECT_EQ(static_cast<int>(attempts_by_id.size()), ok_responses) << "each response came from a backend";
     for (const auto& [id, attempts] : attempts_by_id) EXPECT_EQ(attempts, 1) << id;
-    EXPECT_EQ(Figure(admin_port, "ok.quote") + std::max(0L, Figure(admin_port, "ok.extra")), ok_responses);
-    EXPECT_EQ(Figure(admin_port, "active"), 0);
+    EXPECT_EQ(ReadMetric(admin_port, "ok.quote") + std::max(0L, ReadMetric(admin_port, "ok.extra")),
+              ok_responses);
+    EXPECT_EQ(ReadMetric(admin_port, "active"), 0);
   }
 }
 
 // 2,000 revisions in a row, each with a new class, plan and zone, leak neither memory nor descriptors.
 TEST(Reload, TwoThousandRevisionsLeakNoMemoryOrDescriptors) {
-  Backend backend(Says(Ok("x")));
-  Folder folder;
-  Process::Environment environment = kOps;
+  Backend backend(RespondsWith(OkResponse("x")));
+  TempFolder folder;
+  GatewayProcess::Environment environment = kAdminEnvironment;
   environment["TMPDIR"] = folder.path();
-  Site site(json::array({Entry("s1", backend.port())}), StartableConfig(), LEMONCHUTE_GATEWAY, 0,
-            environment);
-  int admin_port = site.gateway->ops_port;
+  GatewayFixture site(json::array({EndpointEntry("s1", backend.port())}), StartableConfig(),
+                      LEMONCHUTE_GATEWAY, 0, environment);
+  int admin_port = site.gateway->admin_port;
   std::atomic<bool> done{false};
   std::thread load([&] {
     auto wire = site.gateway->Connect();
     while (!done) {
-      int status = Ask(*wire, Request("quote")).status();
+      int status = SendRequest(*wire, Request("quote")).status();
       EXPECT_TRUE(status == 200 || status == 429 || status == 503) << status;
     }
   });
@@ -702,18 +708,19 @@
     config["settings"]["tiers-of-service"][1]["name"] = "plan-" + number;
     config["settings"]["zones"][1] = "zone-" + number;
     std::string base_revision = std::to_string(i + 1);
-    ASSERT_EQ(Call(admin_port, "PUT", "/control/config?base=" + base_revision, config.dump()).status(), 200)
+    ASSERT_EQ(AdminCall(admin_port, "PUT", "/control/config?base=" + base_revision, config.dump()).status(),
+              200)
         << i;
-    if (i == 500) memory_kb = site.gateway->MostMemory(), descriptors = site.gateway->Descriptors();
+    if (i == 500) memory_kb = site.gateway->PeakMemoryKb(), descriptors = site.gateway->CountDescriptors();
   }
   done = true;
   load.join();
-  EXPECT_EQ(Figure(admin_port, "config_revision"), 2001);
+  EXPECT_EQ(ReadMetric(admin_port, "config_revision"), 2001);
 #ifndef __SANITIZE_ADDRESS__  // it does not return freed memory
-  EXPECT_LE(site.gateway->MostMemory(), memory_kb + 512) << "kB, after the first 500 revisions";
+  EXPECT_LE(site.gateway->PeakMemoryKb(), memory_kb + 512) << "kB, after the first 500 revisions";
 #endif
-  EXPECT_LE(site.gateway->Descriptors(), descriptors + 2);
-  EXPECT_LE(Call(admin_port, "GET", "/control/counters").body.size(), 8192u);
+  EXPECT_LE(site.gateway->CountDescriptors(), descriptors + 2);
+  EXPECT_LE(AdminCall(admin_port, "GET", "/control/counters").body.size(), 8192u);
   EXPECT_EQ(GetConfig(admin_port)["history"].size(), lemonchute::config::kMaxRevisions);
 }
 
--- a/tests/system_fault_test.cpp
+++ b/tests/system_fault_test.cpp
@@ -12,23 +12,24 @@
 using namespace rig;  // NOLINT
 using Clock = std::chrono::steady_clock;
 
-Process::Environment WithFaults(const std::string& faults, Process::Environment environment = {}) {
+GatewayProcess::Environment WithFaults(const std::string& faults,
+                                       GatewayProcess::Environment environment = {}) {
   environment["LD_PRELOAD"] = LEMONCHUTE_FAULTS_LIBRARY;
   environment["LEMONCHUTE_FAULTS"] = faults;
   return environment;
 }
 
-json SingleEndpoint(const Backend& backend) { return json::array({Entry("s1", backend.port())}); }
+json SingleEndpoint(const Backend& backend) { return json::array({EndpointEntry("s1", backend.port())}); }
 
 // A short write doesn't mean that the socket's buffer is full: the rest must be written without waiting for
 // another event from the kernel.
 TEST(ShortTransfers, LongRequestsAndResponsesArriveComplete) {
   const std::string body(20000, 'x');
-  Backend backend(Says(Ok(body)));
-  Site site(SingleEndpoint(backend), {}, LEMONCHUTE_GATEWAY, 0,
-            WithFaults("seed=3;send.short=0.9;recv.short=0.3"));
+  Backend backend(RespondsWith(OkResponse(body)));
+  GatewayFixture site(SingleEndpoint(backend), {}, LEMONCHUTE_GATEWAY, 0,
+                      WithFaults("seed=3;send.short=0.9;recv.short=0.3"));
   auto client = site.gateway->Connect();
-  Message answer = Ask(*client, Request("save-scenario", 1, 1400, "", std::string(3000, 'y')));
+  Message answer = SendRequest(*client, Request("save-scenario", 1, 1400, "", std::string(3000, 'y')));
   EXPECT_EQ(answer.status(), 200);
   EXPECT_EQ(answer.body, body);
   ASSERT_TRUE(backend.requests.Wait());
@@ -38,10 +39,10 @@
 // An accept() that fails because of one connection must not delay those behind it in the queue. The first
 // call finds the queue empty; the second is made once a client has connected, and fails.
 TEST(Accepting, AFailedAcceptDoesNotDelayTheNextConnection) {
-  Backend backend(Says(Ok("x")));
+  Backend backend(RespondsWith(OkResponse("x")));
   for (const char* error : {"ECONNABORTED", "EPROTO", "ENFILE", "EINTR", "EHOSTUNREACH"}) {
-    Site site(SingleEndpoint(backend), {}, LEMONCHUTE_GATEWAY, 0,
-              WithFaults(std::string("accept.") + error + "=#2"));
+    GatewayFixture site(SingleEndpoint(backend), {}, LEMONCHUTE_GATEWAY, 0,
+                        WithFaults(std::string("accept.") + error + "=#2"));
     auto client = site.gateway->Connect();
     client->Write(Request("quote"));
     EXPECT_EQ(client->Read().status(), 200) << error;
@@ -50,75 +51,79 @@
 
 // A transient failure to create, bind or listen on a socket at startup only delays the startup.
 TEST(Startup, RetriesTransientSocketErrors) {
-  Backend backend(Says(Ok("x")));
+  Backend backend(RespondsWith(OkResponse("x")));
   for (const char* faults :
        {"socket.ENFILE=#1-6", "bind.EADDRINUSE=#1-2", "listen.EADDRINUSE=#1", "socket.ENOBUFS=#2"}) {
-    Site site(SingleEndpoint(backend), {}, LEMONCHUTE_GATEWAY, 0, WithFaults(faults, kOps));
+    GatewayFixture site(SingleEndpoint(backend), {}, LEMONCHUTE_GATEWAY, 0,
+                        WithFaults(faults, kAdminEnvironment));
     ASSERT_NE(site.gateway->port, 0) << faults;
-    EXPECT_EQ(Ask(*site.gateway->Connect(), Request("quote")).status(), 200) << faults;
-    EXPECT_EQ(Call(site.gateway->ops_port, "GET", "/control/ready").status(), 200) << faults;
+    EXPECT_EQ(SendRequest(*site.gateway->Connect(), Request("quote")).status(), 200) << faults;
+    EXPECT_EQ(AdminCall(site.gateway->admin_port, "GET", "/control/ready").status(), 200) << faults;
   }
 }
 
 // A SIGHUP that arrives during startup, here while the configuration is read, is handled once the event loop
 // runs.
 TEST(Startup, SighupDuringStartupIsHandledOnceRunning) {
-  Backend backend(Says(Ok("x")));
-  Site site(SingleEndpoint(backend), {}, LEMONCHUTE_GATEWAY, 0, WithFaults("open-read.raise-hup=#1", kOps));
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture site(SingleEndpoint(backend), {}, LEMONCHUTE_GATEWAY, 0,
+                      WithFaults("open-read.raise-hup=#1", kAdminEnvironment));
   ASSERT_NE(site.gateway->port, 0);
-  AwaitFigure(site.gateway->ops_port, "config_applied", 1);
-  EXPECT_EQ(Ask(*site.gateway->Connect(), Request("quote")).status(), 200);
+  AwaitMetric(site.gateway->admin_port, "config_applied", 1);
+  EXPECT_EQ(SendRequest(*site.gateway->Connect(), Request("quote")).status(), 200);
 }
 
 // A transient error while the configuration is read, at startup or at SIGHUP, is retried.
 TEST(Startup, RetriesTransientReadErrorsOfTheConfiguration) {
-  Backend backend(Says(Ok("x")));
-  Site site(SingleEndpoint(backend), {}, LEMONCHUTE_GATEWAY, 0,
-            WithFaults("open-read.EIO=#1-2;open-read.EMFILE=#4-5", kOps));
+  Backend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture site(SingleEndpoint(backend), {}, LEMONCHUTE_GATEWAY, 0,
+                      WithFaults("open-read.EIO=#1-2;open-read.EMFILE=#4-5", kAdminEnvironment));
   ASSERT_NE(site.gateway->port, 0);
   site.gateway->Signal(SIGHUP);
-  AwaitFigure(site.gateway->ops_port, "config_applied", 1);
-  EXPECT_EQ(Figure(site.gateway->ops_port, "config_rejected"), 0);
+  AwaitMetric(site.gateway->admin_port, "config_applied", 1);
+  EXPECT_EQ(ReadMetric(site.gateway->admin_port, "config_rejected"), 0);
 }
 
 // A connect() that fails for lack of local resources is retried and not attributed to the backend: no backend
 // is ejected.
 TEST(Connecting, LocalResourceErrorsDoNotEjectBackends) {
-  Backend one(Says(Ok("x"))), two(Says(Ok("x")));
+  Backend one(RespondsWith(OkResponse("x"))), two(RespondsWith(OkResponse("x")));
   for (const char* error : {"EADDRNOTAVAIL", "ENETUNREACH", "EINTR"}) {
-    Site site(json::array({Entry("s1", one.port()), Entry("s2", two.port())}), {}, LEMONCHUTE_GATEWAY, 0,
-              WithFaults(std::string("connect.") + error + "=#3-10",
-                         kOps));  // after the connects to the counter and discovery
+    GatewayFixture site(json::array({EndpointEntry("s1", one.port()), EndpointEntry("s2", two.port())}), {},
+                        LEMONCHUTE_GATEWAY, 0,
+                        WithFaults(std::string("connect.") + error + "=#3-10",
+                                   kAdminEnvironment));  // after the connects to the counter and discovery
     auto client = site.gateway->Connect();
-    for (int i = 0; i < 5; ++i) EXPECT_EQ(Ask(*client, Fresh("save-scenario")).status(), 200) << error;
-    EXPECT_EQ(Figure(site.gateway->ops_port, "pool_ejected"), 0) << error;
+    for (int i = 0; i < 5; ++i)
+      EXPECT_EQ(SendRequest(*client, RequestOfNewCustomer("save-scenario")).status(), 200) << error;
+    EXPECT_EQ(ReadMetric(site.gateway->admin_port, "pool_ejected"), 0) << error;
   }
 }
 
 // A backend that an operator has taken offline stays offline if the stored list can't be read for a moment at
 // startup.
 TEST(Disk, OfflineBackendsSurviveTransientReadErrorsAtStartup) {
-  Backend one(Says(Ok("x"))), two(Says(Ok("x")));
-  Folder folder;
-  json entries = json::array({Entry("s1", one.port()), Entry("s2", two.port())});
-  Process::Environment shared_folder = kOps;
+  Backend one(RespondsWith(OkResponse("x"))), two(RespondsWith(OkResponse("x")));
+  TempFolder folder;
+  json entries = json::array({EndpointEntry("s1", one.port()), EndpointEntry("s2", two.port())});
+  GatewayProcess::Environment shared_folder = kAdminEnvironment;
   shared_folder["TMPDIR"] = folder.path();
   {
-    Site site(entries, {}, LEMONCHUTE_GATEWAY, 0, shared_folder);
-    EXPECT_EQ(Call(site.gateway->ops_port, "PUT", "/control/backends/s1/offline").status(), 200);
+    GatewayFixture site(entries, {}, LEMONCHUTE_GATEWAY, 0, shared_folder);
+    EXPECT_EQ(AdminCall(site.gateway->admin_port, "PUT", "/control/backends/s1/offline").status(), 200);
     site.gateway->Signal(SIGKILL);
-    EXPECT_EQ(site.gateway->Exit(), -SIGKILL);
+    EXPECT_EQ(site.gateway->WaitForExit(), -SIGKILL);
   }
   // The third file that is read is the list of offline backends, after the configuration and the revision
   // log.
   for (const char* faults : {"open-read.EIO=#3", "open-read.EMFILE=#3"}) {
-    Site site(entries, {}, LEMONCHUTE_GATEWAY, 0, WithFaults(faults, shared_folder));
+    GatewayFixture site(entries, {}, LEMONCHUTE_GATEWAY, 0, WithFaults(faults, shared_folder));
     int requests_before = one.requests.count();
     auto client = site.gateway->Connect();
-    for (int i = 0; i < 10; ++i) EXPECT_EQ(Ask(*client, Fresh("quote")).status(), 200);
+    for (int i = 0; i < 10; ++i) EXPECT_EQ(SendRequest(*client, RequestOfNewCustomer("quote")).status(), 200);
     EXPECT_EQ(one.requests.count(), requests_before) << faults;
     site.gateway->Signal(SIGKILL);
-    EXPECT_EQ(site.gateway->Exit(), -SIGKILL);
+    EXPECT_EQ(site.gateway->WaitForExit(), -SIGKILL);
   }
 }
 
@@ -136,18 +141,18 @@
   };
   EXPECT_EQ(CheckSend(sendable), SendVerdict::kSend);
   EXPECT_EQ(check_with([](SendFacts& facts) { facts.answered = true; }), SendVerdict::kAnswered);
-  EXPECT_EQ(check_with([](SendFacts& facts) { facts.client_present = false; }), SendVerdict::kClientGone);
-  EXPECT_EQ(check_with([](SendFacts& facts) { facts.now = facts.deadline; }), SendVerdict::kTimeOver);
-  EXPECT_EQ(check_with([](SendFacts& facts) { facts.body_buffered = false; }), SendVerdict::kBodyGone);
+  EXPECT_EQ(check_with([](SendFacts& facts) { facts.client_connected = false; }), SendVerdict::kClientGone);
+  EXPECT_EQ(check_with([](SendFacts& facts) { facts.now = facts.deadline; }), SendVerdict::kDeadlinePassed);
+  EXPECT_EQ(check_with([](SendFacts& facts) { facts.body_buffered = false; }), SendVerdict::kBodyDiscarded);
   EXPECT_EQ(check_with([](SendFacts& facts) { facts.attempts_left = false; }), SendVerdict::kTooManyAttempts);
-  EXPECT_EQ(check_with([](SendFacts& facts) { facts.other_in_flight = true; }), SendVerdict::kOtherOut);
+  EXPECT_EQ(check_with([](SendFacts& facts) { facts.other_in_flight = true; }), SendVerdict::kOtherInFlight);
   EXPECT_EQ(check_with([](SendFacts& facts) { facts.other_in_flight = facts.hedging_allowed = true; }),
             SendVerdict::kSend);
   for (Idempotency idempotency : {Idempotency::kWithinWindow, Idempotency::kNonIdempotent})
     EXPECT_EQ(check_with([&](SendFacts& facts) {
                 facts.other_in_flight = facts.hedging_allowed = true, facts.idempotency = idempotency;
               }),
-              SendVerdict::kOtherOut);
+              SendVerdict::kOtherInFlight);
   EXPECT_EQ(check_with([](SendFacts& facts) {
               facts.may_have_run = true, facts.idempotency = Idempotency::kNonIdempotent;
             }),
@@ -188,20 +193,21 @@
 
 void ExpectSlowStartForWarmAfterPeriod(const ClockStep& step) {
   SCOPED_TRACE(std::string(step.faults) + ", discovery ahead by " + std::to_string(step.discovery_ahead_s));
-  Backend warm_backend(Says(Ok("x"))), cold_backend(Says(Ok("x")));
-  json config = Config(0, 0);
+  Backend warm_backend(RespondsWith(OkResponse("x"))), cold_backend(RespondsWith(OkResponse("x")));
+  json config = DefaultConfig(0, 0);
   config["settings"]["invariants"]["warm-after-s"] = 2.0;
-  Site site(SingleEndpoint(warm_backend), config, LEMONCHUTE_GATEWAY, 0, WithFaults(step.faults));
+  GatewayFixture site(SingleEndpoint(warm_backend), config, LEMONCHUTE_GATEWAY, 0, WithFaults(step.faults));
   std::this_thread::sleep_for(std::chrono::milliseconds(300));  // until the step has happened
   double now_s = std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
-  json entry = Entry("s2", cold_backend.port());
+  json entry = EndpointEntry("s2", cold_backend.port());
   entry["since_ms"] = (now_s + step.discovery_ahead_s) * 1000;
-  site.discovery.Set(json::array({entry}));  // the only backend in the list
-  ASSERT_TRUE(site.discovery.Told());
+  site.discovery.SetList(json::array({entry}));  // the only backend in the list
+  ASSERT_TRUE(site.discovery.AwaitListApplied());
   auto client = site.gateway->Connect();
   auto served = [&] {
     int count = 0;
-    for (int i = 0; i < 40; ++i) count += Ask(*client, Fresh("quote")).status() == 200 ? 1 : 0;
+    for (int i = 0; i < 40; ++i)
+      count += SendRequest(*client, RequestOfNewCustomer("quote")).status() == 200 ? 1 : 0;
     return count;
   };
   EXPECT_LE(served(), 3);
