--- a/lab/cli/tables.cpp
+++ b/lab/cli/tables.cpp
@@ -245,13 +245,13 @@
   std::vector<Row> rows = {{"key", "default", "from", "to", "meaning"}};
   auto add = [&](const auto& figures, const auto& owner, const std::string& prefix) {
     for (const auto& figure : figures)
-      rows.push_back({prefix + figure.key, Spelled(owner.*figure.at), Spelled({figure.least, figure.least}),
-                      Spelled({figure.most, figure.most}), figure.about});
+      rows.push_back({prefix + figure.key, Spelled(owner.*figure.member), Spelled({figure.min, figure.min}),
+                      Spelled({figure.max, figure.max}), figure.description});
   };
-  add(ScenarioFigures(), Scenario(), "");
-  add(ClassKeys(), ClassFigures(), "[[class]] ");
-  add(PlanKeys(), PlanFigures(), "[[plan]] ");
-  add(EventKeys(), EventFigures(), "[[event]] ");
+  add(ScenarioParameters(), Scenario(), "");
+  add(ClassParameters(), ClassConfig(), "[[class]] ");
+  add(PlanParameters(), PlanConfig(), "[[plan]] ");
+  add(EventParameters(), EventConfig(), "[[event]] ");
   std::string out = Table(rows, 5) +
                     "\n[expect] rules = \"kept\" or \"any\", g_at_least, served_at_least, recover_s_at_most, "
                     "told_at_most\n\n";
--- a/lab/experiment/faults.cpp
+++ b/lab/experiment/faults.cpp
@@ -94,7 +94,7 @@
   Plan(const Scenario& base, uint64_t seed, const PlanWish& wish)
       : base_(base), wish_(wish), random_(seed, Stream::kFaults, 1) {}
 
-  std::vector<EventFigures> Draw() {
+  std::vector<EventConfig> Draw() {
     double weights = 0;
     std::vector<const Kind*> kinds;
     for (const Kind& kind : kKinds) {
@@ -114,7 +114,7 @@
       Add(*kinds[i]);
     }
     std::stable_sort(events_.begin(), events_.end(),
-                     [](const EventFigures& a, const EventFigures& b) { return a.at_s.lo < b.at_s.lo; });
+                     [](const EventConfig& a, const EventConfig& b) { return a.at_s.lo < b.at_s.lo; });
     return std::move(events_);
   }
 
@@ -125,15 +125,15 @@
     std::vector<int> all(static_cast<size_t>(of));
     for (int i = 0; i < of; ++i) all[static_cast<size_t>(i)] = i;
     random_.Shuffle(&all);
-    all.resize(
-        static_cast<size_t>(std::max(1, random_.Below(std::max(1, static_cast<int>(most_part * of))) + 1)));
+    all.resize(static_cast<size_t>(
+        std::max(1, random_.UniformInt(std::max(1, static_cast<int>(most_part * of))) + 1)));
     std::sort(all.begin(), all.end());
     return all;
   }
 
   void Add(const Kind& kind) {
     double last = base_.length_s.lo - wish_.quiet_s;
-    EventFigures e;
+    EventConfig e;
     e.kind = kind.kind;
     double length = random_.Uniform(kind.for_s.lo, kind.for_s.hi), down = random_.Uniform(0.2, 2);
     double tail = e.kind == "replace" ? kReplacedS : e.kind == "restart" ? kKilledS + down : down;
@@ -144,7 +144,7 @@
     switch (kind.at) {
       case At::kGateways: e.targets = Some(gateways, kind.most_part); break;
       case At::kBackends: e.targets = Some(backends, kind.most_part); break;
-      case At::kZone: e.targets = {random_.Below(static_cast<int>(base_.zones.lo))}; break;
+      case At::kZone: e.targets = {random_.UniformInt(static_cast<int>(base_.zones.lo))}; break;
       case At::kPaths: {
         e.to = kind.to;
         e.targets = Some(gateways, kind.most_part);
@@ -160,18 +160,18 @@
     if (e.kind == "kill" || e.kind == "power-loss" || e.kind == "restart") e.down_s = Point(down);
     if (e.kind == "retune") {
       for (int i = 1; i < kReloadsInARow; ++i) {
-        EventFigures again = e;
+        EventConfig again = e;
         at = std::min(last, at + random_.Uniform(kBetweenReloadsS.lo, kBetweenReloadsS.hi));
         again.at_s = Point(at), again.size = Point(random_.Uniform(kind.size.lo, kind.size.hi));
         events_.push_back(again);
       }
     }
     if (e.kind == "power-loss") e.order = random_.Chance(0.5) ? "up" : "down";
-    if (e.kind == "claim") e.size = Point(random_.Below(gateways));
+    if (e.kind == "claim") e.size = Point(random_.UniformInt(gateways));
     if (e.kind == "spoil") {
       // Between a death and the start after it.
-      e.what = kSpoils[random_.Below(static_cast<int>(std::size(kSpoils)))];
-      EventFigures death = e;
+      e.what = kSpoils[random_.UniformInt(static_cast<int>(std::size(kSpoils)))];
+      EventConfig death = e;
       death.kind = "kill", death.what.clear(), death.down_s = Point(down);
       e.at_s = Point(at + down / 2);
       events_.push_back(death);
@@ -182,7 +182,7 @@
   const Scenario& base_;
   const PlanWish& wish_;
   Random random_;
-  std::vector<EventFigures> events_;
+  std::vector<EventConfig> events_;
 };
 
 nlohmann::json PlayOne(const FaultHunt& hunt, const Scenario& scenario, uint64_t seed,
@@ -222,7 +222,7 @@
   scenario.events = DrawPlan(hunt.base, seed, hunt.wish);
   std::string name = scenario.name + "-" + std::to_string(seed) + "-" + std::to_string(getpid());
   nlohmann::json one = {{"seed", seed}, {"events", nlohmann::json::array()}};
-  for (const EventFigures& e : scenario.events)
+  for (const EventConfig& e : scenario.events)
     one["events"].push_back(e.to.empty() ? e.kind : e.kind + ":" + e.to);
   one["report"] = PlayOne(hunt, scenario, seed, name);
   std::string why = Failure(hunt, one["report"]);
@@ -252,7 +252,7 @@
   return names;
 }
 
-std::vector<EventFigures> DrawPlan(const Scenario& base, uint64_t seed, const PlanWish& wish) {
+std::vector<EventConfig> DrawPlan(const Scenario& base, uint64_t seed, const PlanWish& wish) {
   return Plan(base, seed, wish).Draw();
 }
 
@@ -260,7 +260,7 @@
   Shrunk least{std::move(failing), 0};
   size_t parts = 2;
   while (least.scenario.events.size() >= 2) {
-    std::vector<EventFigures>& all = least.scenario.events;
+    std::vector<EventConfig>& all = least.scenario.events;
     parts = std::min(parts, all.size());
     bool smaller = false;
     for (size_t part = 0; part < parts && !smaller; ++part) {
--- a/lab/experiment/faults.h
+++ b/lab/experiment/faults.h
@@ -24,7 +24,7 @@
 // The events, with all of their figures and targets fixed, so that each can be left out and the others stay
 // as they are. The base has to say its fleet in single numbers where `wish` is to be met exactly; the least
 // of a range is taken.
-std::vector<EventFigures> DrawPlan(const Scenario& base, uint64_t seed, const PlanWish& wish);
+std::vector<EventConfig> DrawPlan(const Scenario& base, uint64_t seed, const PlanWish& wish);
 
 // The fewest events of `failing` that still fail, by delta debugging (Zeller and Hildebrandt 2002, ddmin):
 // no single one of those that are left can be taken away. `fails` plays a scenario.
--- a/lab/experiment/recovery.cpp
+++ b/lab/experiment/recovery.cpp
@@ -18,11 +18,11 @@
 
 }  // namespace
 
-Day WithoutTroubles(const Day& day) {
-  Day quiet = day;
-  std::erase_if(quiet.incidents, [](const Incident& incident) {
-    return incident.what != Happening::kRetune && incident.what != Happening::kScrape &&
-           incident.what != Happening::kRude;
+RunSpec WithoutTroubles(const RunSpec& day) {
+  RunSpec quiet = day;
+  std::erase_if(quiet.site_events, [](const SiteEvent& incident) {
+    return incident.kind != SiteEventKind::kScaleQuotas && incident.kind != SiteEventKind::kScrapeMetrics &&
+           incident.kind != SiteEventKind::kMisbehavingPeers;
   });
   return quiet;
 }
--- a/lab/experiment/recovery.h
+++ b/lab/experiment/recovery.h
@@ -9,7 +9,7 @@
 namespace lemonchute::lab {
 
 // The day with its load, and with what operators and rude peers do, but without what goes wrong.
-Day WithoutTroubles(const Day& day);
+RunSpec WithoutTroubles(const RunSpec& day);
 
 // Puts into `report`, from the series of both: for each trouble `recover_s`, seconds from its end until two
 // seconds together are served at 95% of the same two without the troubles (-1: not by the day's end; none
--- a/lab/experiment/runner.cpp
+++ b/lab/experiment/runner.cpp
@@ -46,15 +46,15 @@
 namespace {
 
 // The same day without its troubles is always played in virtual time: on sockets it would take as long again.
-void Beside(const Day& day, nlohmann::json* report) {
-  if (day.troubles.empty()) return;
+void Beside(const RunSpec& day, nlohmann::json* report) {
+  if (day.disturbances.empty()) return;
   Recover(PlayVirtual(WithoutTroubles(day)), report);
 }
 
 void KeepHistory(const Batch& batch, const History& history) {
   if (batch.history.empty()) return;
   std::ofstream out(batch.history, std::ios::binary);
-  out << history.Lines();
+  out << history.ToJsonLines();
   if (!out.flush()) throw CannotPlay("cannot write " + batch.history);
 }
 
@@ -77,7 +77,7 @@
       options.null_run = batch.way == Way::kNull;
       if (!options.folder.empty() && tasks.size() > 1)
         options.folder += "/" + tasks[i].scenario->name + "-" + std::to_string(tasks[i].seed);
-      Day day = DrawDay(*tasks[i].scenario, tasks[i].seed);
+      RunSpec day = DrawRunSpec(*tasks[i].scenario, tasks[i].seed);
       History history;
       if (batch.with_history) options.history = &history;
       reports[i] = PlayReal(day, options);
@@ -99,7 +99,7 @@
   auto work = [&] {
     for (size_t i = next++; i < tasks.size(); i = next++) {
       try {
-        Day day = DrawDay(*tasks[i].scenario, tasks[i].seed);
+        RunSpec day = DrawRunSpec(*tasks[i].scenario, tasks[i].seed);
         History history;
         reports[i] = PlayVirtual(day, &done[i], batch.with_history ? &history : nullptr);
         Beside(day, &reports[i]);
--- a/lab/experiment/statistics.cpp
+++ b/lab/experiment/statistics.cpp
@@ -31,7 +31,7 @@
   for (int i = 0; i < kResamples; ++i) {
     double sum = 0;
     for (size_t j = 0; j < differences.size(); ++j)
-      sum += differences[static_cast<size_t>(random.Below(static_cast<int>(differences.size())))];
+      sum += differences[static_cast<size_t>(random.UniformInt(static_cast<int>(differences.size())))];
     means.push_back(sum / static_cast<double>(differences.size()));
   }
   std::sort(means.begin(), means.end());
--- a/lab/experiment/worst_order.cpp
+++ b/lab/experiment/worst_order.cpp
@@ -14,8 +14,8 @@
 
 constexpr int kHand = 16;  // orders a round
 
-EventFigures* PowerLossOf(Scenario* scenario) {
-  for (EventFigures& e : scenario->events) {
+EventConfig* PowerLossOf(Scenario* scenario) {
+  for (EventConfig& e : scenario->events) {
     if (e.kind == "power-loss") return &e;
   }
   throw std::invalid_argument("the scenario has no power-loss");
@@ -25,7 +25,7 @@
   auto n = static_cast<int>(order.size());
   if (n < 2) return order;
   auto at = [&](int i) { return order.begin() + i; };
-  int from = random->Below(n), to = from + 1 + random->Below(std::max(1, n / 4));
+  int from = random->UniformInt(n), to = from + 1 + random->UniformInt(std::max(1, n / 4));
   to = std::min(to, n);
   if (random->Chance(0.5)) {
     std::reverse(at(from), at(to));
@@ -33,7 +33,7 @@
   }
   std::vector<int> run(at(from), at(to));
   order.erase(at(from), at(to));
-  order.insert(at(random->Below(static_cast<int>(order.size()) + 1)), run.begin(), run.end());
+  order.insert(at(random->UniformInt(static_cast<int>(order.size()) + 1)), run.begin(), run.end());
   return order;
 }
 
@@ -42,7 +42,7 @@
 WorstOrder FindWorstOrder(const Scenario& scenario, const OrderWish& wish) {
   WorstOrder found;
   found.scenario = scenario;
-  EventFigures* loss = PowerLossOf(&found.scenario);
+  EventConfig* loss = PowerLossOf(&found.scenario);
   loss->order = "drawn";  // as the targets stand
   std::vector<int> order = loss->targets;
   if (order.empty()) {
--- a/lab/judge/history.cpp
+++ b/lab/judge/history.cpp
@@ -25,16 +25,17 @@
 
 }  // namespace
 
-const char* Name(What what) { return kNames[static_cast<size_t>(what)]; }
+const char* Name(HistoryEventKind what) { return kNames[static_cast<size_t>(what)]; }
 
-void History::Order() {
-  std::stable_sort(facts_.begin(), facts_.end(), [](const Fact& a, const Fact& b) { return a.at < b.at; });
+void History::Sort() {
+  std::stable_sort(facts_.begin(), facts_.end(),
+                   [](const HistoryEvent& a, const HistoryEvent& b) { return a.at < b.at; });
 }
 
-std::string History::Lines() const {
+std::string History::ToJsonLines() const {
   std::string out;
-  for (const Fact& f : facts_) {
-    nlohmann::ordered_json line = {{"at_us", f.at}, {"what", Name(f.what)}, {"gateway", f.gateway}};
+  for (const HistoryEvent& f : facts_) {
+    nlohmann::ordered_json line = {{"at_us", f.at}, {"what", Name(f.kind)}, {"gateway", f.gateway}};
     if (f.process != 0) line["process"] = f.process;
     if (!f.subject.empty()) line["subject"] = f.subject;
     if (f.amount != 0) line["amount"] = f.amount;
@@ -45,8 +46,8 @@
   return out;
 }
 
-std::optional<Fact> ReadSaying(std::string_view line, int gateway, Micros clock_at_start,
-                               std::string* fault) {
+std::optional<HistoryEvent> ParseLogEvent(std::string_view line, int gateway, Micros clock_at_start,
+                                          std::string* fault) {
   fault->clear();
   if (line.substr(0, 6) != "fleet " || line.size() > kMostSaying) return std::nullopt;
   std::map<std::string_view, std::string_view> fields;
@@ -60,7 +61,7 @@
       *fault = "a field twice";
     line.remove_prefix(std::min(line.size(), space + 1));
   }
-  Fact fact;
+  HistoryEvent fact;
   fact.gateway = gateway;
   auto number = [&](std::string_view key, auto* value, bool needed) {
     auto found = fields.find(key);
@@ -74,11 +75,12 @@
   if (!std::isfinite(fact.amount) || !std::isfinite(fact.rate)) *fault = "a number is not finite";
   fact.subject = fields["subject"];
   auto name = std::find_if(kNames.begin(), kNames.end(), [&](const char* n) { return fields["what"] == n; });
-  if (name == kNames.end() || static_cast<size_t>(name - kNames.begin()) < static_cast<size_t>(What::kUses)) {
+  if (name == kNames.end() ||
+      static_cast<size_t>(name - kNames.begin()) < static_cast<size_t>(HistoryEventKind::kBudgetUsed)) {
     *fault = "what is nothing that a gateway says";
   }
   if (!fault->empty()) return std::nullopt;
-  fact.what = static_cast<What>(name - kNames.begin());
+  fact.kind = static_cast<HistoryEventKind>(name - kNames.begin());
   fact.at -= clock_at_start;
   if (fact.until != kNever) fact.until -= clock_at_start;
   return fact;
--- a/lab/judge/history.h
+++ b/lab/judge/history.h
@@ -12,37 +12,38 @@
 
 namespace lemonchute::lab {
 
-enum class What {
+enum class HistoryEventKind {
   // The lab's own doing.
-  kStarts,  // a process
-  kEnds,
-  kStops,
-  kGoesOn,
-  kFault,  // something begins, or ends, that the fleet has to bear; the subject says what
-  kHeal,
+  kProcessStarted,  // a process
+  kProcessEnded,
+  kProcessPaused,
+  kProcessResumed,
+  kFaultBegan,  // something begins, or ends, that the fleet has to bear; the subject says what
+  kFaultEnded,
   // What others saw.
-  kDatagram,  // sent by a gateway: amount is its bytes, the subject its receiver
-  kHeard,     // arrived at a gateway; the subject is its sender
-  kAsked,     // a request reached a gateway; a final answer is due by `until`
-  kAnswered,  // one final answer to it
-  kGone,      // its client has left or was never heard: nothing is owed any more
-  kUses,      // amount of the subject was used, as its other end saw it
+  kDatagramSent,      // sent by a gateway: amount is its bytes, the subject its receiver
+  kDatagramReceived,  // arrived at a gateway; the subject is its sender
+  kRequestReceived,   // a request reached a gateway; a final answer is due by `until`
+  kRequestAnswered,   // one final answer to it
+  kClientGone,        // its client has left or was never heard: nothing is owed any more
+  kBudgetUsed,        // amount of the subject was used, as its other end saw it
   // What gateways say, and the settings with them.
-  kWhole,    // all together may hold `amount` of the subject, or use it at `rate` a second with that burst
-  kHolds,    // this process may use `amount` of it until then, in place of what it held before
-  kDrops,    // it holds none of it any more
-  kRevoked,  // it was told that what it holds is taken back
-  kOwns,     // it acts alone for the subject until then
-  kYields,
-  kView,    // the digest of who it believes is there
-  kKept,    // version `amount` of the subject is on its disk
-  kTrusts,  // it goes on from that version of the subject
+  kBudgetDefined,  // all together may hold `amount` of the subject, or use it at `rate` a second with that
+                   // burst
+  kShareHeld,      // this process may use `amount` of it until then, in place of what it held before
+  kShareReleased,  // it holds none of it any more
+  kShareRevoked,   // it was told that what it holds is taken back
+  kOwnershipHeld,  // it acts alone for the subject until then
+  kOwnershipReleased,
+  kMembershipView,  // the digest of who it believes is there
+  kVersionStored,   // version `amount` of the subject is on its disk
+  kVersionLoaded,   // it goes on from that version of the subject
 };
-const char* Name(What what);
+const char* Name(HistoryEventKind what);
 
-struct Fact {
+struct HistoryEvent {
   Micros at = 0;
-  What what = What::kFault;
+  HistoryEventKind kind = HistoryEventKind::kFaultBegan;
   int gateway = -1;
   int64_t process = 0;  // tells the processes of one gateway apart
   std::string subject;
@@ -52,21 +53,22 @@
 
 class History {
  public:
-  void Add(Fact fact) { facts_.push_back(std::move(fact)); }
+  void Add(HistoryEvent fact) { facts_.push_back(std::move(fact)); }
   // Orders what was added; of one moment, in the order in which it was added.
-  void Order();
-  const std::vector<Fact>& facts() const { return facts_; }
+  void Sort();
+  const std::vector<HistoryEvent>& events() const { return facts_; }
   // One line of JSON a fact.
-  std::string Lines() const;
+  std::string ToJsonLines() const;
 
  private:
-  std::vector<Fact> facts_;
+  std::vector<HistoryEvent> facts_;
 };
 
 // A line of a gateway's log that speaks to the history: `fleet at_us=N pid=N what=holds subject=cold/s-1
 // amount=2 rate=0 until_us=N`, times by the monotonic clock. None where it is another line; `fault` where it
 // has the word but can't be read.
-std::optional<Fact> ReadSaying(std::string_view line, int gateway, Micros clock_at_start, std::string* fault);
+std::optional<HistoryEvent> ParseLogEvent(std::string_view line, int gateway, Micros clock_at_start,
+                                          std::string* fault);
 
 }  // namespace lemonchute::lab
 
--- a/lab/judge/rules.h
+++ b/lab/judge/rules.h
@@ -10,32 +10,32 @@
 
 namespace lemonchute::lab {
 
-struct Finding {
-  std::string rule, what;
+struct FleetViolation {
+  std::string rule, description;
   Micros at = 0;
-  Micros lasted = kNever;  // how long it was so, where that has a meaning: against the lab's own lateness
+  Micros duration = kNever;  // how long it was so, where that has a meaning: against the lab's own lateness
   int gateway = -1;
 };
 
 // What the rules go by. Times are the site's, or a consumer's own stated bounds.
-struct Bounds {
-  Micros converge = 10 * kSecond;  // from the last fault until all views agree
-  double in_per_s = 60;            // datagrams that a gateway takes in any second (specifics.peer-in-per-s)
-  double datagram_bytes = kMostDatagram;
+struct RuleLimits {
+  Micros convergence = 10 * kSecond;  // from the last fault until all views agree
+  double datagrams_per_s = 60;  // datagrams that a gateway takes in any second (specifics.peer-in-per-s)
+  double datagram_bytes = kMaxPeerDatagramBytes;
   Micros end = kNever;  // of the history: what would be due later is not judged
 };
 
-Bounds BoundsOf(const Day& day, Micros end);
+RuleLimits RuleLimitsOf(const RunSpec& day, Micros end);
 
-using FleetRule = std::vector<Finding> (*)(const History& history, const Bounds& bounds);
+using FleetRule = std::vector<FleetViolation> (*)(const History& history, const RuleLimits& bounds);
 
-std::vector<Finding> SumWithinWhole(const History&, const Bounds&);
-std::vector<Finding> NothingExpiredIsUsed(const History&, const Bounds&);
-std::vector<Finding> OneOwner(const History&, const Bounds&);
-std::vector<Finding> ViewsConverge(const History&, const Bounds&);
-std::vector<Finding> OnlyTheNewestIsTrusted(const History&, const Bounds&);
-std::vector<Finding> OneAnswer(const History&, const Bounds&);
-std::vector<Finding> DatagramsWithinBounds(const History&, const Bounds&);
+std::vector<FleetViolation> CheckBudgetSum(const History&, const RuleLimits&);
+std::vector<FleetViolation> CheckNoUseAfterExpiry(const History&, const RuleLimits&);
+std::vector<FleetViolation> CheckSingleOwner(const History&, const RuleLimits&);
+std::vector<FleetViolation> CheckViewsConverge(const History&, const RuleLimits&);
+std::vector<FleetViolation> CheckNewestVersionLoaded(const History&, const RuleLimits&);
+std::vector<FleetViolation> CheckSingleAnswer(const History&, const RuleLimits&);
+std::vector<FleetViolation> CheckDatagramLimits(const History&, const RuleLimits&);
 
 struct NamedRule {
   const char* name;
@@ -44,8 +44,8 @@
 };
 const std::vector<NamedRule>& FleetRules();
 // All rules over one history; each names at most `kMostFindings`.
-inline constexpr size_t kMostFindings = 20;
-std::vector<Finding> JudgeFleet(const History& history, const Bounds& bounds);
+inline constexpr size_t kMaxViolationsPerRule = 20;
+std::vector<FleetViolation> CheckFleet(const History& history, const RuleLimits& bounds);
 
 }  // namespace lemonchute::lab
 
--- a/lab/judge/rules/answers.cpp
+++ b/lab/judge/rules/answers.cpp
@@ -5,20 +5,20 @@
 
 namespace lemonchute::lab {
 
-std::vector<Finding> OneAnswer(const History& history, const Bounds& bounds) {
+std::vector<FleetViolation> CheckSingleAnswer(const History& history, const RuleLimits& bounds) {
   struct Request {
     int gateway = 0;
     Micros due = kNever;
     bool answered = false, excused = false;
   };
   std::map<std::string, Request> requests;
-  std::vector<Finding> found;
-  for (const Fact& fact : history.facts()) {
-    switch (fact.what) {
-      case What::kAsked:
+  std::vector<FleetViolation> found;
+  for (const HistoryEvent& fact : history.events()) {
+    switch (fact.kind) {
+      case HistoryEventKind::kRequestReceived:
         requests[fact.subject].gateway = fact.gateway, requests[fact.subject].due = fact.until;
         break;
-      case What::kAnswered: {
+      case HistoryEventKind::kRequestAnswered: {
         auto request = requests.find(fact.subject);
         if (request == requests.end() || request->second.due == kNever) {
           found.push_back(
@@ -30,9 +30,11 @@
         }
         break;
       }
-      case What::kGone: requests[fact.subject].excused = true; break;  // even before it has arrived
-      case What::kEnds:
-      case What::kStops:
+      case HistoryEventKind::kClientGone:
+        requests[fact.subject].excused = true;
+        break;  // even before it has arrived
+      case HistoryEventKind::kProcessEnded:
+      case HistoryEventKind::kProcessPaused:
         for (auto& [subject, request] : requests) {
           if (request.gateway == fact.gateway && !request.answered && fact.at <= request.due)
             request.excused = true;
--- a/lab/judge/rules/datagrams.cpp
+++ b/lab/judge/rules/datagrams.cpp
@@ -7,25 +7,25 @@
 
 namespace lemonchute::lab {
 
-std::vector<Finding> DatagramsWithinBounds(const History& history, const Bounds& bounds) {
+std::vector<FleetViolation> CheckDatagramLimits(const History& history, const RuleLimits& bounds) {
   struct Inbox {
     std::deque<std::pair<Micros, std::string>> heard;
     Micros named = -kSecond;
   };
   std::map<int, Inbox> inboxes;
-  std::vector<Finding> found;
-  for (const Fact& fact : history.facts()) {
-    if (fact.what == What::kDatagram && fact.amount > bounds.datagram_bytes) {
+  std::vector<FleetViolation> found;
+  for (const HistoryEvent& fact : history.events()) {
+    if (fact.kind == HistoryEventKind::kDatagramSent && fact.amount > bounds.datagram_bytes) {
       found.push_back({"",
                        "gateway " + std::to_string(fact.gateway) + " sent a datagram of " +
                            std::to_string(static_cast<int>(fact.amount)) + " bytes to " + fact.subject,
                        fact.at, kNever, fact.gateway});
     }
-    if (fact.what != What::kHeard) continue;
+    if (fact.kind != HistoryEventKind::kDatagramReceived) continue;
     Inbox& inbox = inboxes[fact.gateway];
     inbox.heard.emplace_back(fact.at, fact.subject);
     while (inbox.heard.front().first + kSecond <= fact.at) inbox.heard.pop_front();
-    if (static_cast<double>(inbox.heard.size()) <= bounds.in_per_s || inbox.named + kSecond > fact.at)
+    if (static_cast<double>(inbox.heard.size()) <= bounds.datagrams_per_s || inbox.named + kSecond > fact.at)
       continue;
     inbox.named = fact.at;
     std::map<std::string, int> by;
--- a/lab/judge/rules/expired.cpp
+++ b/lab/judge/rules/expired.cpp
@@ -7,7 +7,7 @@
 
 namespace lemonchute::lab {
 
-std::vector<Finding> NothingExpiredIsUsed(const History& history, const Bounds&) {
+std::vector<FleetViolation> CheckNoUseAfterExpiry(const History& history, const RuleLimits&) {
   struct Hold {
     Micros until = kNever;
     bool revoked = false;
@@ -15,17 +15,17 @@
   using Key = std::tuple<int, int64_t, std::string>;
   std::map<Key, Hold> holds;
   std::set<std::string> divided;  // what is held by anyone at all: other uses need no part
-  for (const Fact& fact : history.facts()) {
-    if (fact.what == What::kHolds) divided.insert(fact.subject);
+  for (const HistoryEvent& fact : history.events()) {
+    if (fact.kind == HistoryEventKind::kShareHeld) divided.insert(fact.subject);
   }
-  std::vector<Finding> found;
-  for (const Fact& fact : history.facts()) {
+  std::vector<FleetViolation> found;
+  for (const HistoryEvent& fact : history.events()) {
     Key key{fact.gateway, fact.process, fact.subject};
-    switch (fact.what) {
-      case What::kHolds: holds[key] = {fact.until, false}; break;
-      case What::kRevoked: holds[key].revoked = true; break;
-      case What::kDrops: holds.erase(key); break;
-      case What::kUses: {
+    switch (fact.kind) {
+      case HistoryEventKind::kShareHeld: holds[key] = {fact.until, false}; break;
+      case HistoryEventKind::kShareRevoked: holds[key].revoked = true; break;
+      case HistoryEventKind::kShareReleased: holds.erase(key); break;
+      case HistoryEventKind::kBudgetUsed: {
         if (divided.count(fact.subject) == 0) break;
         auto hold = holds.find(key);
         if (hold == holds.end()) {
--- a/lab/judge/rules/memory.cpp
+++ b/lab/judge/rules/memory.cpp
@@ -6,13 +6,13 @@
 
 namespace lemonchute::lab {
 
-std::vector<Finding> OnlyTheNewestIsTrusted(const History& history, const Bounds&) {
+std::vector<FleetViolation> CheckNewestVersionLoaded(const History& history, const RuleLimits&) {
   std::map<std::pair<int, std::string>, double> newest;
-  std::vector<Finding> found;
-  for (const Fact& fact : history.facts()) {
+  std::vector<FleetViolation> found;
+  for (const HistoryEvent& fact : history.events()) {
     double& kept = newest[{fact.gateway, fact.subject}];
-    if (fact.what == What::kKept) kept = std::max(kept, fact.amount);
-    if (fact.what != What::kTrusts || fact.amount == 0 || fact.amount == kept) continue;
+    if (fact.kind == HistoryEventKind::kVersionStored) kept = std::max(kept, fact.amount);
+    if (fact.kind != HistoryEventKind::kVersionLoaded || fact.amount == 0 || fact.amount == kept) continue;
     auto version = [](double amount) { return std::to_string(static_cast<int64_t>(amount)); };
     found.push_back({"",
                      fact.subject + ": goes on from version " + version(fact.amount) +
--- a/lab/judge/rules/owner.cpp
+++ b/lab/judge/rules/owner.cpp
@@ -6,7 +6,7 @@
 
 namespace lemonchute::lab {
 
-std::vector<Finding> OneOwner(const History& history, const Bounds& bounds) {
+std::vector<FleetViolation> CheckSingleOwner(const History& history, const RuleLimits& bounds) {
   struct Term {
     int gateway = 0;
     int64_t process = 0;
@@ -14,23 +14,24 @@
     bool endless = false;
   };
   std::map<std::string, std::vector<Term>> terms;
-  auto close = [](std::vector<Term>& all, const Fact& fact, bool endless_only) {
+  auto close = [](std::vector<Term>& all, const HistoryEvent& fact, bool endless_only) {
     for (Term& term : all) {
       if (term.gateway == fact.gateway && term.process == fact.process && (!endless_only || term.endless))
         term.to = std::min(term.to, fact.at);
     }
   };
-  for (const Fact& fact : history.facts()) {
-    if (fact.what == What::kOwns || fact.what == What::kYields) close(terms[fact.subject], fact, false);
-    if (fact.what == What::kOwns) {
+  for (const HistoryEvent& fact : history.events()) {
+    if (fact.kind == HistoryEventKind::kOwnershipHeld || fact.kind == HistoryEventKind::kOwnershipReleased)
+      close(terms[fact.subject], fact, false);
+    if (fact.kind == HistoryEventKind::kOwnershipHeld) {
       terms[fact.subject].push_back(
           {fact.gateway, fact.process, fact.at, std::min(fact.until, bounds.end), fact.until == kNever});
     }
-    if (fact.what == What::kEnds) {
+    if (fact.kind == HistoryEventKind::kProcessEnded) {
       for (auto& [subject, all] : terms) close(all, fact, true);
     }
   }
-  std::vector<Finding> found;
+  std::vector<FleetViolation> found;
   for (const auto& [subject, all] : terms) {
     for (size_t i = 1; i < all.size(); ++i) {
       const Term& b = all[i];
@@ -47,7 +48,7 @@
     }
   }
   std::stable_sort(found.begin(), found.end(),
-                   [](const Finding& a, const Finding& b) { return a.at < b.at; });
+                   [](const FleetViolation& a, const FleetViolation& b) { return a.at < b.at; });
   return found;
 }
 
--- a/lab/judge/rules/sum.cpp
+++ b/lab/judge/rules/sum.cpp
@@ -36,25 +36,27 @@
 
 class Sums {
  public:
-  void Take(const Fact& fact) {
-    bool speaks = fact.what == What::kWhole || fact.what == What::kHolds || fact.what == What::kDrops ||
-                  fact.what == What::kRevoked || fact.what == What::kUses || fact.what == What::kEnds;
+  void Take(const HistoryEvent& fact) {
+    bool speaks =
+        fact.kind == HistoryEventKind::kBudgetDefined || fact.kind == HistoryEventKind::kShareHeld ||
+        fact.kind == HistoryEventKind::kShareReleased || fact.kind == HistoryEventKind::kShareRevoked ||
+        fact.kind == HistoryEventKind::kBudgetUsed || fact.kind == HistoryEventKind::kProcessEnded;
     if (!speaks) return;
     // Parts that ran out before now may have ended an excess.
     for (auto& [name, budget] : budgets_) Look(name, &budget, fact.at);
     std::pair<int, int64_t> who{fact.gateway, fact.process};
-    switch (fact.what) {
-      case What::kWhole: {
+    switch (fact.kind) {
+      case HistoryEventKind::kBudgetDefined: {
         Budget& budget = budgets_[fact.subject];
         if (budget.whole < 0) budget.level = fact.amount, budget.level_at = fact.at;
         budget.whole = fact.amount, budget.rate = fact.rate;
         break;
       }
-      case What::kHolds: budgets_[fact.subject].parts[who] = {fact.amount, fact.until}; break;
-      case What::kDrops:
-      case What::kRevoked: budgets_[fact.subject].parts.erase(who); break;
-      case What::kUses: Use(fact); break;
-      case What::kEnds:
+      case HistoryEventKind::kShareHeld: budgets_[fact.subject].parts[who] = {fact.amount, fact.until}; break;
+      case HistoryEventKind::kShareReleased:
+      case HistoryEventKind::kShareRevoked: budgets_[fact.subject].parts.erase(who); break;
+      case HistoryEventKind::kBudgetUsed: Use(fact); break;
+      case HistoryEventKind::kProcessEnded:
         for (auto& [name, budget] : budgets_) {
           auto part = budget.parts.find(who);
           if (part != budget.parts.end() && part->second.until == kNever) budget.parts.erase(part);
@@ -65,7 +67,7 @@
     for (auto& [name, budget] : budgets_) Look(name, &budget, fact.at);
   }
 
-  std::vector<Finding> End(Micros at) {
+  std::vector<FleetViolation> End(Micros at) {
     for (auto& [name, budget] : budgets_) {
       Look(name, &budget, at);
       if (budget.over_since != kNever) Name(name, &budget, at);
@@ -75,10 +77,10 @@
 
  private:
   // Over every window at once: a store of the burst that fills at the rate never falls below nothing.
-  void Use(const Fact& fact) {
+  void Use(const HistoryEvent& fact) {
     Budget& budget = budgets_[fact.subject];
     if (budget.whole < 0 || budget.rate <= 0) return;
-    budget.level = std::min(budget.whole, budget.level + budget.rate * ToS(fact.at - budget.level_at));
+    budget.level = std::min(budget.whole, budget.level + budget.rate * ToSeconds(fact.at - budget.level_at));
     budget.level_at = fact.at;
     budget.level -= fact.amount;
     if (budget.level >= -kRounding * budget.whole) return;
@@ -126,15 +128,15 @@
   }
 
   std::map<std::string, Budget> budgets_;
-  std::vector<Finding> found_;
+  std::vector<FleetViolation> found_;
 };
 
 }  // namespace
 
-std::vector<Finding> SumWithinWhole(const History& history, const Bounds& bounds) {
+std::vector<FleetViolation> CheckBudgetSum(const History& history, const RuleLimits& bounds) {
   Sums sums;
   Micros last = 0;
-  for (const Fact& fact : history.facts()) {
+  for (const HistoryEvent& fact : history.events()) {
     sums.Take(fact);
     last = fact.at;
   }
--- a/lab/judge/rules/views.cpp
+++ b/lab/judge/rules/views.cpp
@@ -5,12 +5,12 @@
 
 namespace lemonchute::lab {
 
-std::vector<Finding> ViewsConverge(const History& history, const Bounds& bounds) {
+std::vector<FleetViolation> CheckViewsConverge(const History& history, const RuleLimits& bounds) {
   using Who = std::pair<int, int64_t>;
   std::map<Who, std::string> views;  // of those that live
   std::map<Who, bool> stopped;
   Micros last_fault = 0, last = 0, differ_since = kNever;
-  std::vector<Finding> found;
+  std::vector<FleetViolation> found;
   auto agree = [&] {
     const std::string* first = nullptr;
     for (const auto& [who, view] : views) {
@@ -23,7 +23,7 @@
   // Names what went on differing past the bound, up to `at`.
   auto look = [&](Micros at) {
     if (differ_since == kNever) return;
-    Micros due = std::max(differ_since, last_fault) + bounds.converge;
+    Micros due = std::max(differ_since, last_fault) + bounds.convergence;
     if (at <= due) return;
     std::string said;
     for (const auto& [who, view] : views)
@@ -31,31 +31,31 @@
     found.push_back({"", "views differ past the bound: " + said, due, at - due, -1});
     differ_since = at;  // named once for each stretch of the bound
   };
-  for (const Fact& fact : history.facts()) {
+  for (const HistoryEvent& fact : history.events()) {
     Who who{fact.gateway, fact.process};
     bool fault = false;
-    switch (fact.what) {
-      case What::kView:
-      case What::kStarts:
-      case What::kEnds:
-      case What::kStops:
-      case What::kGoesOn:
-      case What::kFault:
-      case What::kHeal: look(fact.at); break;
+    switch (fact.kind) {
+      case HistoryEventKind::kMembershipView:
+      case HistoryEventKind::kProcessStarted:
+      case HistoryEventKind::kProcessEnded:
+      case HistoryEventKind::kProcessPaused:
+      case HistoryEventKind::kProcessResumed:
+      case HistoryEventKind::kFaultBegan:
+      case HistoryEventKind::kFaultEnded: look(fact.at); break;
       default: continue;
     }
-    switch (fact.what) {
-      case What::kView:
+    switch (fact.kind) {
+      case HistoryEventKind::kMembershipView:
         if (fact.subject == "none") {
           views.erase(who);
         } else {
           views[who] = fact.subject;
         }
         break;
-      case What::kEnds: views.erase(who); [[fallthrough]];
-      case What::kStarts: fault = true; break;
-      case What::kStops: stopped[who] = fault = true; break;
-      case What::kGoesOn: stopped[who] = false, fault = true; break;
+      case HistoryEventKind::kProcessEnded: views.erase(who); [[fallthrough]];
+      case HistoryEventKind::kProcessStarted: fault = true; break;
+      case HistoryEventKind::kProcessPaused: stopped[who] = fault = true; break;
+      case HistoryEventKind::kProcessResumed: stopped[who] = false, fault = true; break;
       default: fault = true; break;
     }
     if (fault) last_fault = fact.at;
--- a/lab/judge/timeline.cpp
+++ b/lab/judge/timeline.cpp
@@ -22,45 +22,53 @@
                                        "delay", "loss",       "duplicates", "reordering"};
   static const char* const kFar[] = {"gateways", "counter", "discovery", "backends"};
   static const char* const kWays[] = {" - ", " > ", " < "};
-  std::string text = kHarms[static_cast<size_t>(fault.harm)];
-  text.append(" gateways ").append(Numbers(fault.gateways)).append(kWays[static_cast<size_t>(fault.ways)]);
-  text.append(kFar[static_cast<size_t>(fault.far)]);
-  if (fault.far == Far::kGateways || fault.far == Far::kBackends)
+  std::string text = kHarms[static_cast<size_t>(fault.kind)];
+  text.append(" gateways ")
+      .append(Numbers(fault.gateways))
+      .append(kWays[static_cast<size_t>(fault.direction)]);
+  text.append(kFar[static_cast<size_t>(fault.remote)]);
+  if (fault.remote == RemoteParty::kGateways || fault.remote == RemoteParty::kBackends)
     text.append(" ").append(Numbers(fault.others));
   return text;
 }
 
 }  // namespace
 
-void NoteIncident(const Day& day, const Incident& incident, History* history) {
+void RecordSiteEvent(const RunSpec& day, const SiteEvent& incident, History* history) {
   auto add = [&](bool begins, const std::string& subject) {
-    history->Add({incident.at, begins ? What::kFault : What::kHeal, -1, 0, subject, 0, 0, kNever});
+    history->Add({incident.at, begins ? HistoryEventKind::kFaultBegan : HistoryEventKind::kFaultEnded, -1, 0,
+                  subject, 0, 0, kNever});
   };
   bool on = incident.size > 0;
   const std::string targets = Numbers(incident.targets);
-  switch (incident.what) {
-    case Happening::kPath:
+  switch (incident.kind) {
+    case SiteEventKind::kPathFault:
       for (int t : incident.targets) add(on, PathName(day.path_faults[static_cast<size_t>(t)]));
       break;
-    case Happening::kCut: add(on, std::string("zone ").append(targets).append(" cut off")); break;
-    case Happening::kSqueeze: add(on, std::string("gateways ").append(targets).append(" starved")); break;
-    case Happening::kEnd:
-    case Happening::kStart:
-      add(incident.what == Happening::kEnd, std::string("backends ").append(targets).append(" down"));
+    case SiteEventKind::kZoneCut: add(on, std::string("zone ").append(targets).append(" cut off")); break;
+    case SiteEventKind::kStarveGateway:
+      add(on, std::string("gateways ").append(targets).append(" starved"));
+      break;
+    case SiteEventKind::kStopBackend:
+    case SiteEventKind::kStartBackend:
+      add(incident.kind == SiteEventKind::kStopBackend,
+          std::string("backends ").append(targets).append(" down"));
+      break;
+    case SiteEventKind::kCounterDown:
+    case SiteEventKind::kCounterLoses:
+    case SiteEventKind::kDiscoverySilent:
+    case SiteEventKind::kDiscoveryRefuses:
+    case SiteEventKind::kAttemptResets: add(on, Name(incident.kind)); break;
+    case SiteEventKind::kBackendErrors:
+    case SiteEventKind::kBackendSlow:
+    case SiteEventKind::kBackendSilent:
+      add(on, std::string(Name(incident.kind)).append(" ").append(targets));
       break;
-    case Happening::kCounterDown:
-    case Happening::kCounterLoses:
-    case Happening::kDiscoverySilent:
-    case Happening::kDiscoveryRefuses:
-    case Happening::kResets: add(on, Name(incident.what)); break;
-    case Happening::kFail:
-    case Happening::kSlow:
-    case Happening::kSilent: add(on, std::string(Name(incident.what)).append(" ").append(targets)); break;
     default: break;
   }
 }
 
-nlohmann::json Timeline(const History& history, Micros end) {
+nlohmann::json BuildTimeline(const History& history, Micros end) {
   using nlohmann::json;
   json lanes = json::array(), faults = json::array(), sums = json::object();
   std::map<std::pair<int, int64_t>, Micros> up, stopped;
@@ -72,7 +80,8 @@
   size_t points = 0;
   auto stretch = [&](json* to, const std::string& name, const char* state, Micros from, Micros until) {
     if (++points <= kMost)
-      to->push_back({{"name", name}, {"state", state}, {"from_s", ToS(from)}, {"to_s", ToS(until)}});
+      to->push_back(
+          {{"name", name}, {"state", state}, {"from_s", ToSeconds(from)}, {"to_s", ToSeconds(until)}});
   };
   auto close = [&](auto* open, std::pair<int, int64_t> who, const char* state, Micros at) {
     auto found = open->find(who);
@@ -80,32 +89,34 @@
     stretch(&lanes, GatewayName(who.first), state, found->second, at);
     open->erase(found);
   };
-  for (const Fact& f : history.facts()) {
+  for (const HistoryEvent& f : history.events()) {
     std::pair<int, int64_t> who{f.gateway, f.process};
-    switch (f.what) {
-      case What::kStarts: up[who] = f.at; break;
-      case What::kEnds: close(&stopped, who, "stopped", f.at), close(&up, who, "runs", f.at); break;
-      case What::kStops: stopped[who] = f.at; break;
-      case What::kGoesOn: close(&stopped, who, "stopped", f.at); break;
-      case What::kFault: wrong.emplace(f.subject, f.at); break;
-      case What::kHeal:
+    switch (f.kind) {
+      case HistoryEventKind::kProcessStarted: up[who] = f.at; break;
+      case HistoryEventKind::kProcessEnded:
+        close(&stopped, who, "stopped", f.at), close(&up, who, "runs", f.at);
+        break;
+      case HistoryEventKind::kProcessPaused: stopped[who] = f.at; break;
+      case HistoryEventKind::kProcessResumed: close(&stopped, who, "stopped", f.at); break;
+      case HistoryEventKind::kFaultBegan: wrong.emplace(f.subject, f.at); break;
+      case HistoryEventKind::kFaultEnded:
         if (auto found = wrong.find(f.subject); found != wrong.end()) {
           stretch(&faults, f.subject, "", found->second, f.at);
           wrong.erase(found);
         }
         break;
-      case What::kWhole: sums[f.subject]["whole"] = f.amount; break;
-      case What::kHolds:
-      case What::kDrops:
-      case What::kRevoked: {
+      case HistoryEventKind::kBudgetDefined: sums[f.subject]["whole"] = f.amount; break;
+      case HistoryEventKind::kShareHeld:
+      case HistoryEventKind::kShareReleased:
+      case HistoryEventKind::kShareRevoked: {
         Held& all = held[f.subject];
-        if (f.what == What::kHolds)
+        if (f.kind == HistoryEventKind::kShareHeld)
           all.parts[who] = {f.amount, f.until};
         else
           all.parts.erase(who);
         double sum = 0;
         for (const auto& [holder, part] : all.parts) sum += part.second > f.at ? part.first : 0;
-        if (++points <= kMost) sums[f.subject]["points"].push_back({ToS(f.at), sum});
+        if (++points <= kMost) sums[f.subject]["points"].push_back({ToSeconds(f.at), sum});
         break;
       }
       default: break;
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -55,19 +55,19 @@
 std::vector<Scenario> ReadScenarios(const Asked& asked) {
   std::vector<Scenario> scenarios;
   std::string faults;
-  auto add = [&](const std::string& where, const ScenarioFault& fault) {
+  auto add = [&](const std::string& where, const ScenarioError& fault) {
     faults += where + (fault.line > 0 ? ":" + std::to_string(fault.line) : "") + ": " +
-              (fault.key.empty() ? "" : fault.key + " ") + fault.why + "\n";
+              (fault.key.empty() ? "" : fault.key + " ") + fault.message + "\n";
   };
   for (const std::string& path : asked.scenarios) {
-    ReadScenario read = ParseScenario(ReadFile(path));
-    for (const ScenarioFault& fault : read.faults) add(path, fault);
+    ScenarioParseResult read = ParseScenario(ReadFile(path));
+    for (const ScenarioError& fault : read.errors) add(path, fault);
     for (const std::string& setting : asked.settings) {
-      if (auto fault = SetFigure(&read.scenario, setting)) add("--set", *fault);
+      if (auto fault = SetParameter(&read.scenario, setting)) add("--set", *fault);
     }
-    std::vector<ScenarioFault> after;
-    if (read.faults.empty()) CheckWhole(read.scenario, &after);
-    for (const ScenarioFault& fault : after) add(path, fault);
+    std::vector<ScenarioError> after;
+    if (read.errors.empty()) CheckConsistency(read.scenario, &after);
+    for (const ScenarioError& fault : after) add(path, fault);
     scenarios.push_back(std::move(read.scenario));
   }
   if (!faults.empty()) throw Unusable(faults);
--- a/lab/model/backend.cpp
+++ b/lab/model/backend.cpp
@@ -21,7 +21,7 @@
 }
 
 double Backend::Capacity(Micros now) const {
-  double crowded = static_cast<double>(held()) / (b_.cores * day_->crowding_at);
+  double crowded = static_cast<double>(request_count()) / (b_.cores * day_->crowding_at);
   double efficiency = crowded > 1 ? std::max(0.05, 1 - day_->crowding_loss * (crowded - 1)) : 1;
   return b_.cores * b_.speed * Warmth(now) * efficiency / slow_;
 }
@@ -31,7 +31,7 @@
                           : Capacity(now) / std::max<double>(b_.cores, static_cast<double>(running_.size()));
 }
 
-double Backend::Expected(Micros now, double work_s) const {
+double Backend::ExpectedSeconds(Micros now, double work_s) const {
   if (!up_) return 1e3;
   double capacity = std::max(1e-9, Capacity(now));
   auto running = static_cast<double>(running_.size()), slots = static_cast<double>(b_.slots);
@@ -41,7 +41,7 @@
   return ahead / capacity + work_s * sharing * b_.cores / capacity;
 }
 
-void Backend::Advance(Micros now, std::vector<End>* ends) {
+void Backend::Advance(Micros now, std::vector<Completion>* ends) {
   while (at_ < now) {
     double rate = PerJob(at_);
     Micros step = now;
@@ -51,7 +51,7 @@
         step = std::min(step, at_ + std::max<Micros>(1, static_cast<Micros>(std::ceil(left * 1e6))));
     }
     if (at_ < warm_at_) step = std::min(step, at_ + kColdStep);
-    progress_ += rate * ToS(step - at_);
+    progress_ += rate * ToSeconds(step - at_);
     at_ = step;
     while (!running_.empty() && running_.begin()->first <= progress_ + kDone) {
       uint64_t id = running_.begin()->second;
@@ -77,7 +77,7 @@
   }
 }
 
-Micros Backend::NextAt() const {
+Micros Backend::NextEventAt() const {
   if (running_.empty()) return kNever;  // nothing runs, so nothing waits
   double rate = PerJob(at_);
   if (rate <= 0) return kNever;
@@ -106,7 +106,7 @@
   Stop();
   up_ = true, leaving_ = false;
   at_ = started_ = now;
-  warm_at_ = cold ? now + FromS(day_->cold_s) : now;
+  warm_at_ = cold ? now + FromSeconds(day_->cold_s) : now;
   pushed_.clear();
   pushed_work_ = pushed_told_ = 0;
 }
@@ -117,15 +117,15 @@
   waiting_work_ = 0;
 }
 
-Backend::Taken Backend::Offer(Micros now, const Job& job) {
+Backend::Admission Backend::Offer(Micros now, const Job& job) {
   at_ = std::max(at_, now);
-  if (!up_) return Taken::kDown;
+  if (!up_) return Admission::kDown;
   bool full = static_cast<int>(jobs_.size()) >= b_.slots && static_cast<int>(waiting_.size()) >= b_.queue;
-  if (full || leaving_) return Taken::kFull;
+  if (full || leaving_) return Admission::kFull;
   waiting_.push_back(job);
   waiting_work_ += job.work_s;
   FillSlots();
-  return Taken::kYes;
+  return Admission::kAccepted;
 }
 
 double Backend::Cancel(Micros now, uint64_t id) {
@@ -151,21 +151,21 @@
     running_.insert({progress_ + day_->handshake_work_s, kHandshakeBit | ++handshakes_});
 }
 
-std::optional<Backend::Tip> Backend::Push(Micros now, double work_s, bool told) {
-  if (!Cold(now)) return std::nullopt;
+std::optional<Backend::Tip> Backend::RecordColdLoad(Micros now, double work_s, bool told) {
+  if (!IsCold(now)) return std::nullopt;
   pushed_.push_back({now, work_s, told});
   pushed_work_ += work_s, pushed_told_ += told ? work_s : 0;
-  while (pushed_.front().at < now - FromS(day_->tip_s)) {
+  while (pushed_.front().at < now - FromSeconds(day_->tip_s)) {
     pushed_work_ -= pushed_.front().work, pushed_told_ -= pushed_.front().told ? pushed_.front().work : 0;
     pushed_.pop_front();
   }
   double bears = day_->tip_multiple * b_.cores * b_.speed * Warmth(now) * day_->tip_s + day_->tip_slack_s;
   if (pushed_work_ <= bears) return std::nullopt;
   Stop();
-  return Tip{pushed_work_, bears, pushed_told_ / pushed_work_, ToS(now - started_)};
+  return Tip{pushed_work_, bears, pushed_told_ / pushed_work_, ToSeconds(now - started_)};
 }
 
-void Backend::Slow(Micros now, double times) {
+void Backend::SetSlowdown(Micros now, double times) {
   at_ = std::max(at_, now);
   slow_ = std::max(1.0, times);
 }
--- a/lab/model/backend.h
+++ b/lab/model/backend.h
@@ -19,54 +19,54 @@
     double work_s = 0;
     Micros deadline = kNever;  // waiting work is dropped then, where this day's backends do so
   };
-  struct End {
+  struct Completion {
     uint64_t id = 0;
     bool overdue = false;  // dropped from the waiting room; else its work is done
     double work_s = 0;     // done for it
   };
-  enum class Taken { kYes, kFull, kDown };
+  enum class Admission { kAccepted, kFull, kDown };
 
-  Backend(const Day& day, const DayBackend& figures) : day_(&day), b_(figures) {}
+  Backend(const RunSpec& day, const BackendSpec& figures) : day_(&day), b_(figures) {}
 
   // Ends come from Advance, in order of time; call it before every other call at that time.
-  void Advance(Micros now, std::vector<End>* ends);
-  Micros NextAt() const;  // when Advance has something to say next
+  void Advance(Micros now, std::vector<Completion>* ends);
+  Micros NextEventAt() const;  // when Advance has something to say next
 
   void Start(Micros now, bool cold);
   void Stop();  // all that it holds is gone
-  Taken Offer(Micros now, const Job& job);
+  Admission Offer(Micros now, const Job& job);
   // Stops a job, as this day's backends do: waiting work always, running work on some days. Work done so far.
   double Cancel(Micros now, uint64_t id);
   // A connection's handshake: work for nobody, which takes no slot.
   void Handshake(Micros now);
   // Work that arrives at a cold backend pushes it, what it turns away too. Where it tips over now: the push.
   struct Tip {
-    double pushed_s = 0, bears_s = 0;  // work in the span, and what it bears in it
-    double told_share = 0;             // of the push, from gateways that were told of its start
-    double age_s = 0;                  // since its start
+    double received_s = 0, limit_s = 0;  // work in the span, and what it bears in it
+    double informed_share = 0;           // of the push, from gateways that were told of its start
+    double age_s = 0;                    // since its start
   };
-  std::optional<Tip> Push(Micros now, double work_s, bool told);
-  void Slow(Micros now, double times);
+  std::optional<Tip> RecordColdLoad(Micros now, double work_s, bool informed);
+  void SetSlowdown(Micros now, double times);
   // It has left the list: what is new gets a no from now on, until it starts again.
-  void Leave() { leaving_ = true; }
+  void MarkLeaving() { leaving_ = true; }
 
   bool up() const { return up_; }
-  bool TakesNew() const { return up_ && !leaving_; }
-  bool Cold(Micros now) const { return up_ && now < warm_at_; }
-  int held() const { return static_cast<int>(running_.size() + waiting_.size()); }
+  bool AcceptsNew() const { return up_ && !leaving_; }
+  bool IsCold(Micros now) const { return up_ && now < warm_at_; }
+  int request_count() const { return static_cast<int>(running_.size() + waiting_.size()); }
   // Work a second at `now`, with the requests that it holds.
   double Capacity(Micros now) const;
   // Seconds until `work_s` brought now would be done, if nothing else came.
-  double Expected(Micros now, double work_s) const;
-  bool SlotFree() const { return up_ && static_cast<int>(running_.size()) < b_.slots; }
+  double ExpectedSeconds(Micros now, double work_s) const;
+  bool HasFreeSlot() const { return up_ && static_cast<int>(running_.size()) < b_.slots; }
 
  private:
   double Warmth(Micros now) const;
   double PerJob(Micros now) const;
   void FillSlots();
 
-  const Day* day_;
-  DayBackend b_;
+  const RunSpec* day_;
+  BackendSpec b_;
   bool up_ = false, leaving_ = false;
   Micros at_ = 0, started_ = 0, warm_at_ = 0;
   double slow_ = 1;
--- a/lab/model/choice.h
+++ b/lab/model/choice.h
@@ -18,10 +18,10 @@
 template <typename Listed>
 Regret RegretOf(const std::vector<Backend>& backends, size_t chosen, double work_s, Micros now,
                 Listed listed) {
-  double own = backends[chosen].Expected(now, work_s), known = own, best = own;
+  double own = backends[chosen].ExpectedSeconds(now, work_s), known = own, best = own;
   for (size_t b = 0; b < backends.size(); ++b) {
-    if (!backends[b].TakesNew()) continue;
-    double expected = backends[b].Expected(now, work_s);
+    if (!backends[b].AcceptsNew()) continue;
+    double expected = backends[b].ExpectedSeconds(now, work_s);
     best = std::min(best, expected);
     if (listed(b)) known = std::min(known, expected);
   }
@@ -29,9 +29,9 @@
 }
 
 template <typename Listed>
-bool RoomAmong(const std::vector<Backend>& backends, Listed listed) {
+bool AnySlotFree(const std::vector<Backend>& backends, Listed listed) {
   for (size_t b = 0; b < backends.size(); ++b) {
-    if (backends[b].SlotFree() && backends[b].TakesNew() && listed(b)) return true;
+    if (backends[b].HasFreeSlot() && backends[b].AcceptsNew() && listed(b)) return true;
   }
   return false;
 }
--- a/lab/model/client_router.h
+++ b/lab/model/client_router.h
@@ -13,28 +13,28 @@
 
 class ClientRouter {
  public:
-  explicit ClientRouter(const Day& day);
+  explicit ClientRouter(const RunSpec& day);
 
   // The gateway of the set for a try that is sent now; -1 where the front sees none of them up.
-  int Pick(uint32_t arrival, int number, Micros now) const;
+  int PickGateway(uint32_t arrival, int number, Micros now) const;
   // A gateway's process has ended or answers readiness with a no; and is ready again.
-  void Gone(int gateway, Micros now);
-  void Draining(int gateway, Micros now);
-  void Ready(int gateway);
+  void OnGatewayDown(int gateway, Micros now);
+  void OnGatewayDraining(int gateway, Micros now);
+  void OnGatewayReady(int gateway);
 
   // A try's own patience, from its sending.
-  Micros Patience(uint32_t arrival, Micros now) const;
+  Micros TryTimeout(uint32_t arrival, Micros now) const;
   // Whether that try goes on using a connection to a gateway that was told to end.
-  bool UsesUntilEnd(uint32_t arrival, int number) const;
+  bool KeepsConnectionUntilEnd(uint32_t arrival, int number) const;
   // Where the client leaves before its patience ends: when, from its sending.
   std::optional<Micros> LeavesAfter(uint32_t arrival, int number, Micros patience) const;
   // When the client tries again after a failure; none where it does not. `retry_after_s` is 0 for no advice.
-  std::optional<Micros> Again(uint32_t arrival, int number, Micros now, double retry_after_s) const;
+  std::optional<Micros> RetryAt(uint32_t arrival, int number, Micros now, double retry_after_s) const;
 
  private:
   Random Habits(uint32_t arrival, int number, uint64_t what) const;
 
-  const Day* day_;
+  const RunSpec* day_;
   std::vector<Micros> unseen_until_;  // by when the front has noticed that it is down; kNever: it is up
 };
 
--- a/lab/model/counter.h
+++ b/lab/model/counter.h
@@ -14,20 +14,20 @@
 
 class Counter {
  public:
-  enum class Said { kTotal, kBusy, kNothing };
-  struct Answer {
-    Said said = Said::kNothing;
+  enum class ReplyKind { kTotal, kBusy, kNoReply };
+  struct Reply {
+    ReplyKind kind = ReplyKind::kNoReply;
     Micros at = kNever;  // when the answer leaves; never where it is lost
     double total = 0;
   };
 
-  explicit Counter(const Day& day);
+  explicit Counter(const RunSpec& day);
 
   // Calls have to come in order of time. `keep_ms` is the life of a new name, at most a minute.
-  Answer Call(Micros now, std::string_view name, double amount, double keep_ms);
+  Reply Call(Micros now, std::string_view name, double amount, double keep_ms);
   // While down it says nothing; when it comes back it is empty.
-  void Down(bool down);
-  void Lose(double share) { lost_share_ = share; }
+  void SetDown(bool down);
+  void SetLostShare(double share) { lost_share_ = share; }
 
  private:
   struct Number {
--- a/lab/model/discovery.cpp
+++ b/lab/model/discovery.cpp
@@ -12,13 +12,13 @@
 
 }  // namespace
 
-Discovery::Discovery(const Day& day)
+Discovery::Discovery(const RunSpec& day)
     : day_(&day), random_(day.seed, Stream::kNetwork, 2), cut_(static_cast<size_t>(day.gateways), 0) {}
 
-int Discovery::Tell(Micros now, const Entry& entry, std::vector<Micros>* told) {
-  bool start = entry.state == Listed::kActive;
-  double lo = start ? day_->start_notice_lo : day_->list_notice_lo;
-  double hi = start ? day_->start_notice_hi : day_->list_notice_hi;
+int Discovery::Publish(Micros now, const Entry& entry, std::vector<Micros>* told) {
+  bool start = entry.state == ListState::kActive;
+  double lo = start ? day_->discovery_start_notice_lo : day_->discovery_notice_lo;
+  double hi = start ? day_->discovery_start_notice_hi : day_->discovery_notice_hi;
   changes_.push_back({now, entry});
   // The list learns of it once, for all; each gateway then a little later.
   double notice = random_.Uniform(lo, hi);
@@ -26,7 +26,7 @@
   bool withheld = false;
   for (size_t g = 0; g < cut_.size(); ++g) {
     // While it is silent nothing is drawn, so that days without a cut stay as they are.
-    Micros at = silent_ ? kNever : now + FromS(notice + random_.Uniform(0, day_->agent_s));
+    Micros at = silent_ ? kNever : now + FromSeconds(notice + random_.Uniform(0, day_->discovery_agent_s));
     if (Withholds(g)) at = kNever, withheld = true;
     if (!told_.empty()) at = std::max(at, told_.back()[g]);
     row.push_back(at);
@@ -50,13 +50,13 @@
   }
 }
 
-void Discovery::Silent(bool silent, Micros now, std::vector<Micros>* told) {
+void Discovery::SetSilent(bool silent, Micros now, std::vector<Micros>* told) {
   silent_ = silent;
   for (size_t g = 0; g < cut_.size(); ++g) silent ? Keep(g, now) : Release(g, now);
   if (told != nullptr && !told_.empty()) *told = told_.back();
 }
 
-void Discovery::Cut(int gateway, bool cut, Micros now) {
+void Discovery::SetCut(int gateway, bool cut, Micros now) {
   auto g = static_cast<size_t>(gateway);
   cut_[g] = cut ? 1 : 0;
   cut ? Keep(g, now) : Release(g, now);
@@ -73,11 +73,11 @@
   std::map<int, Entry> list;
   for (size_t b = 0; b < day_->backends.size(); ++b) {
     if (day_->backends[b].starts_at == 0)
-      list[static_cast<int>(b)] = {static_cast<int>(b), Listed::kActive, 0};
+      list[static_cast<int>(b)] = {static_cast<int>(b), ListState::kActive, 0};
   }
   for (int v = 0; v < version; ++v) {
     const Entry& entry = changes_[static_cast<size_t>(v)].entry;
-    if (entry.state == Listed::kLeft)
+    if (entry.state == ListState::kLeft)
       list.erase(entry.backend);
     else
       list[entry.backend] = entry;
--- a/lab/model/discovery.h
+++ b/lab/model/discovery.h
@@ -9,13 +9,13 @@
 
 namespace lemonchute::lab {
 
-enum class Listed { kActive, kLeaving, kLeft };
+enum class ListState { kActive, kLeaving, kLeft };
 
 class Discovery {
  public:
   struct Entry {
     int backend = 0;
-    Listed state = Listed::kActive;
+    ListState state = ListState::kActive;
     Micros since = 0;  // its last start; 0: long ago
   };
   struct Change {
@@ -23,21 +23,21 @@
     Entry entry;
   };
 
-  explicit Discovery(const Day& day);
+  explicit Discovery(const RunSpec& day);
 
   // Version numbers are 1 + the place in changes(); version 0 is the list of the start.
   // For each gateway, when it is told: `told[g]`; kNever while discovery is silent.
-  int Tell(Micros now, const Entry& entry, std::vector<Micros>* told);
+  int Publish(Micros now, const Entry& entry, std::vector<Micros>* told);
   // Silent ends: what waited is told now. Gives each gateway's moment for the newest version.
-  void Silent(bool silent, Micros now, std::vector<Micros>* told);
+  void SetSilent(bool silent, Micros now, std::vector<Micros>* told);
 
   // The same for one gateway alone, whose path to discovery passes nothing.
-  void Cut(int gateway, bool cut, Micros now);
+  void SetCut(int gateway, bool cut, Micros now);
 
   // The newest version that `gateway` has been told of by now.
   int VersionAt(int gateway, Micros now) const;
   // When `gateway` was or will be told of the version (from 1).
-  Micros ToldAt(int gateway, int version) const {
+  Micros NotifiedAt(int gateway, int version) const {
     return told_[static_cast<size_t>(version - 1)][static_cast<size_t>(gateway)];
   }
   // Whether a silence kept that version from some gateways.
@@ -47,7 +47,7 @@
   const std::vector<Change>& changes() const { return changes_; }
 
  private:
-  const Day* day_;
+  const RunSpec* day_;
   Random random_;
   void Keep(size_t gateway, Micros now);
   void Release(size_t gateway, Micros now);
--- a/lab/model/disk.cpp
+++ b/lab/model/disk.cpp
@@ -6,7 +6,7 @@
 
 namespace lemonchute::lab {
 
-bool ForgetfulDisk::Put(const std::string& name, std::string bytes, bool over) {
+bool SimulatedDisk::Put(const std::string& name, std::string bytes, bool over) {
   size_t held = bytes.size();
   for (const auto& [other, number] : names_) held += other == name ? 0 : files_[number].now.size();
   if (fails_ || held > room_) return false;
@@ -18,15 +18,15 @@
   return true;
 }
 
-bool ForgetfulDisk::Write(const std::string& name, const std::string& bytes) {
+bool SimulatedDisk::Write(const std::string& name, const std::string& bytes) {
   return Put(name, bytes, true);
 }
 
-bool ForgetfulDisk::Append(const std::string& name, const std::string& bytes) {
+bool SimulatedDisk::Append(const std::string& name, const std::string& bytes) {
   return Put(name, Read(name).value_or("") + bytes, false);
 }
 
-bool ForgetfulDisk::Sync(const std::string& name) {
+bool SimulatedDisk::Sync(const std::string& name) {
   auto found = names_.find(name);
   if (fails_ || found == names_.end()) return false;
   File& file = files_[found->second];
@@ -35,7 +35,7 @@
   return true;
 }
 
-bool ForgetfulDisk::Rename(const std::string& from, const std::string& to) {
+bool SimulatedDisk::Rename(const std::string& from, const std::string& to) {
   auto found = names_.find(from);
   if (fails_ || found == names_.end()) return false;
   names_[to] = found->second;
@@ -43,28 +43,28 @@
   return true;
 }
 
-bool ForgetfulDisk::Remove(const std::string& name) { return !fails_ && names_.erase(name) > 0; }
+bool SimulatedDisk::Remove(const std::string& name) { return !fails_ && names_.erase(name) > 0; }
 
-bool ForgetfulDisk::SyncNames() {
+bool SimulatedDisk::SyncDirectory() {
   if (fails_) return false;
   safe_names_ = names_;
   ++syncs_;
   return true;
 }
 
-std::optional<std::string> ForgetfulDisk::Read(const std::string& name) const {
+std::optional<std::string> SimulatedDisk::Read(const std::string& name) const {
   auto found = names_.find(name);
   if (found == names_.end()) return std::nullopt;
   return files_.at(found->second).now;
 }
 
-std::vector<std::string> ForgetfulDisk::Names() const {
+std::vector<std::string> SimulatedDisk::ListNames() const {
   std::vector<std::string> all;
   for (const auto& [name, number] : names_) all.push_back(name);
   return all;
 }
 
-void ForgetfulDisk::PowerLoss(Random* random) {
+void SimulatedDisk::PowerLoss(Random* random) {
   std::set<std::string> names;
   for (const auto& [name, number] : names_) names.insert(name);
   for (const auto& [name, number] : safe_names_) names.insert(name);
@@ -78,7 +78,8 @@
   for (auto& [number, file] : files_) {
     if (file.now == file.synced && !file.torn) continue;
     size_t kept = file.torn ? 0 : file.synced.size();  // what is written over may be gone altogether
-    kept += static_cast<size_t>(random->Below(static_cast<int>(std::max(file.now.size(), kept) - kept) + 1));
+    kept +=
+        static_cast<size_t>(random->UniformInt(static_cast<int>(std::max(file.now.size(), kept) - kept) + 1));
     bool old = file.torn && random->Chance(0.5);
     file.now = old ? file.synced : file.now.substr(0, kept);
     file.synced = file.now, file.torn = false;
--- a/lab/model/disk.h
+++ b/lab/model/disk.h
@@ -13,10 +13,10 @@
 
 namespace lemonchute::lab {
 
-class ForgetfulDisk {
+class SimulatedDisk {
  public:
   // `room`: bytes that all files together may hold.
-  explicit ForgetfulDisk(size_t room = SIZE_MAX) : room_(room) {}
+  explicit SimulatedDisk(size_t capacity = SIZE_MAX) : room_(capacity) {}
 
   // Each says whether it was done; a no changes nothing, as with a full or failing disk.
   bool Write(const std::string& name, const std::string& bytes);  // all of the file, in place of what it was
@@ -24,14 +24,14 @@
   bool Sync(const std::string& name);  // its bytes outlive a power loss
   bool Rename(const std::string& from, const std::string& to);
   bool Remove(const std::string& name);
-  bool SyncNames();  // so do the names: files made, renamed and removed
+  bool SyncDirectory();  // so do the names: files made, renamed and removed
   std::optional<std::string> Read(const std::string& name) const;
-  std::vector<std::string> Names() const;
+  std::vector<std::string> ListNames() const;
 
   // The power goes; what is left is drawn.
   void PowerLoss(Random* random);
   // From here on every change is refused.
-  void Fail(bool fails) { fails_ = fails; }
+  void SetFailing(bool fails) { fails_ = fails; }
   uint64_t syncs() const { return syncs_; }
 
  private:
--- a/lab/model/judge.cpp
+++ b/lab/model/judge.cpp
@@ -23,25 +23,25 @@
 
 }  // namespace
 
-const char* Name(Mark mark) {
+const char* Name(DecisionKind mark) {
   switch (mark) {
-    case Mark::kInside: return "admitted_inside";
-    case Mark::kBeyondRate: return "admitted_beyond_rate";
-    case Mark::kBeyondOpen: return "admitted_beyond_cap";
-    case Mark::kForQuota: return "refused_rightly_quota";
-    case Mark::kForCap: return "refused_rightly_cap";
-    case Mark::kForRoom: return "refused_rightly_room";
-    case Mark::kNeedless: return "refused_needlessly";
-    case Mark::kCount: break;
+    case DecisionKind::kAdmittedWithinQuota: return "admitted_inside";
+    case DecisionKind::kAdmittedOverRate: return "admitted_beyond_rate";
+    case DecisionKind::kAdmittedOverCap: return "admitted_beyond_cap";
+    case DecisionKind::kRefusedForQuota: return "refused_rightly_quota";
+    case DecisionKind::kRefusedForCap: return "refused_rightly_cap";
+    case DecisionKind::kRefusedNoCapacity: return "refused_rightly_room";
+    case DecisionKind::kRefusedNeedlessly: return "refused_needlessly";
+    case DecisionKind::kCount: break;
   }
   return "";
 }
 
-Judge::Judge(const Day& day, const Discovery& discovery)
+RunChecker::RunChecker(const RunSpec& day, const Discovery& discovery)
     : day_(&day),
       discovery_(&discovery),
       ground_truth_(day),
-      inside_(InsideByFirstTries(day)),
+      inside_(WithinQuotaByFirstTries(day)),
       losses_(day),
       done_(day.arrivals.size(), 0),
       versions_of_(day.backends.size()),
@@ -49,7 +49,7 @@
       open_at_(static_cast<size_t>(day.gateways)),
       plan_served_(day.plans.size(), 0),
       latency_(std::make_tuple(LogAxis(400, 1e-4, 1e3))) {
-  seconds_.resize(static_cast<size_t>(ToS(day.end)) + 2);
+  seconds_.resize(static_cast<size_t>(ToSeconds(day.end)) + 2);
   for (size_t i = 0; i < day.arrivals.size(); ++i) {
     const Arrival& a = day.arrivals[i];
     if (a.at < kFirstCounted) continue;
@@ -57,41 +57,41 @@
   }
 }
 
-Judge::Second& Judge::SecondOf(Micros now) {
+RunChecker::Second& RunChecker::SecondOf(Micros now) {
   return seconds_[std::min(seconds_.size() - 1, static_cast<size_t>(std::max<Micros>(0, now) / kSecond))];
 }
 
-double Judge::Worth(uint32_t arrival, double units) const {
+double RunChecker::Worth(uint32_t arrival, double units) const {
   const Arrival& a = day_->arrivals[arrival];
-  return day_->classes[static_cast<size_t>(a.cls)].worth *
+  return day_->classes[static_cast<size_t>(a.class_index)].worth *
          day_->plans[static_cast<size_t>(day_->customers[a.customer].plan)].price * units;
 }
 
 // Inside quotas its worth; beyond them what its plan still gives for it.
-double Judge::Offered(uint32_t arrival) const {
+double RunChecker::Offered(uint32_t arrival) const {
   const Arrival& a = day_->arrivals[arrival];
   return Worth(arrival, a.units) *
          (inside_[arrival] ? 1
                            : day_->plans[static_cast<size_t>(day_->customers[a.customer].plan)].over_worth);
 }
 
-void Judge::Note(char what, Micros now, uint64_t a, uint64_t b) {
+void RunChecker::Note(char what, Micros now, uint64_t a, uint64_t b) {
   uint64_t words[4] = {static_cast<uint64_t>(what), static_cast<uint64_t>(now), a, b};
   digest_ = XXH3_64bits_withSeed(words, sizeof(words), digest_);
 }
 
-void Judge::Say(What what, Micros now, uint32_t id) {
+void RunChecker::Say(HistoryEventKind what, Micros now, uint32_t id) {
   if (history_ == nullptr) return;
   const Try& t = tries_[id];
   std::string name("try ");
   history_->Add({now, what, t.gateway, 0, name.append(std::to_string(id)), 0, 0,
-                 what == What::kAsked ? t.sent + t.patience + kAnswerLate : kNever});
+                 what == HistoryEventKind::kRequestReceived ? t.sent_at + t.timeout + kAnswerLate : kNever});
 }
 
-void Judge::Broke(const std::string& rule, Micros now, uint32_t id, const std::string& what) {
+void RunChecker::AddViolation(const std::string& rule, Micros now, uint32_t id, const std::string& what) {
   ++broken_;
   if (breaches_.size() >= kMostBreaches) return;
-  Breach breach{rule, what, now, id, {}};
+  Violation breach{rule, what, now, id, {}};
   if (id < tries_.size()) {
     for (const Try& t : tries_) {
       if (t.arrival == tries_[id].arrival) breach.gateways.push_back(t.gateway);
@@ -100,35 +100,35 @@
   breaches_.push_back(std::move(breach));
 }
 
-uint32_t Judge::Sent(Micros now, uint32_t arrival, int number, int gateway, Micros patience) {
+uint32_t RunChecker::OnTrySent(Micros now, uint32_t arrival, int number, int gateway, Micros patience) {
   auto id = static_cast<uint32_t>(tries_.size());
   Note('s', now, arrival, static_cast<uint64_t>(gateway));
   Try t;
-  t.arrival = arrival, t.number = number, t.gateway = gateway, t.sent = now, t.patience = patience;
+  t.arrival = arrival, t.number = number, t.gateway = gateway, t.sent_at = now, t.timeout = patience;
   tries_.push_back(t);
   SecondOf(now).asked += number == 0 ? 1 : 0;
   ++SecondOf(now).tries;
   return id;
 }
 
-void Judge::Taken(Micros now, uint32_t id) {
-  Say(What::kAsked, now, id);
-  tries_[id].taken = now;
+void RunChecker::OnTryReceived(Micros now, uint32_t id) {
+  Say(HistoryEventKind::kRequestReceived, now, id);
+  tries_[id].received_at = now;
   open_at_[static_cast<size_t>(tries_[id].gateway)].insert(id);
 }
 
-void Judge::Unheard(Micros now, uint32_t id) {
+void RunChecker::OnTryUndelivered(Micros now, uint32_t id) {
   Note('u', now, id);
-  Say(What::kGone, now, id);
+  Say(HistoryEventKind::kClientGone, now, id);
   ++unheard_;
-  losses_.Set(tries_[id].arrival, Loss::kUnheard);
+  losses_.Set(tries_[id].arrival, Loss::kGatewayUnreachable);
   open_at_[static_cast<size_t>(tries_[id].gateway)].erase(id);
-  tries_[id].ended = now, tries_[id].told = true;
+  tries_[id].ended_at = now, tries_[id].closed = true;
   ++SecondOf(now).failed;
 }
 
-Listed Judge::ToldState(int gateway, int backend, Micros now, Micros* since) const {
-  auto* self = const_cast<Judge*>(this);  // the index by backend is only a faster way to the same list
+ListState RunChecker::AnnouncedState(int gateway, int backend, Micros now, Micros* since) const {
+  auto* self = const_cast<RunChecker*>(this);  // the index by backend is only a faster way to the same list
   for (; versions_seen_ < discovery_->changes().size(); ++versions_seen_) {
     self->versions_of_[static_cast<size_t>(discovery_->changes()[versions_seen_].entry.backend)].push_back(
         static_cast<int>(versions_seen_) + 1);
@@ -136,7 +136,7 @@
   const std::vector<int>& versions = versions_of_[static_cast<size_t>(backend)];
   for (auto version = versions.rbegin(); version != versions.rend(); ++version) {
     const Discovery::Change& change = discovery_->changes()[static_cast<size_t>(*version - 1)];
-    Micros told = discovery_->ToldAt(gateway, *version);
+    Micros told = discovery_->NotifiedAt(gateway, *version);
     // What a silent or refusing discovery keeps back, nobody can know; only what is late counts as told.
     if (!discovery_->Withheld(*version)) told = std::min(told, change.at + kToldAnyway);
     if (told > now) continue;
@@ -144,60 +144,61 @@
     return change.entry.state;
   }
   *since = 0;
-  return day_->backends[static_cast<size_t>(backend)].starts_at == 0 ? Listed::kActive : Listed::kLeft;
+  return day_->backends[static_cast<size_t>(backend)].starts_at == 0 ? ListState::kActive : ListState::kLeft;
 }
 
-void Judge::Sending(Micros now, uint32_t id, int backend) {
+void RunChecker::OnAttemptStarted(Micros now, uint32_t id, int backend) {
   const Try& t = tries_[id];
-  Micros since = 0, grace = FromS(day_->drain_grace_s + 0.05);  // 50 ms longer on sockets
-  if (ToldState(t.gateway, backend, now, &since) != Listed::kActive && now > since + grace) {
-    Broke("drain", now, id,
-          "sent to " + day_->backends[static_cast<size_t>(backend)].name + " " +
-              std::to_string(ToS(now - since)) + " s after being told that it drains or is gone");
+  Micros since = 0, grace = FromSeconds(day_->drain_grace_s + 0.05);  // 50 ms longer on sockets
+  if (AnnouncedState(t.gateway, backend, now, &since) != ListState::kActive && now > since + grace) {
+    AddViolation("drain", now, id,
+                 "sent to " + day_->backends[static_cast<size_t>(backend)].name + " " +
+                     std::to_string(ToSeconds(now - since)) +
+                     " s after being told that it drains or is gone");
   }
-  if (t.final && now > t.ended + kAnswerCrosses) {
-    Broke("duplicate", now, id,
-          "an attempt for a request that had its final answer " + std::to_string(ToS(now - t.ended)) +
-              " s before");
+  if (t.outcome && now > t.ended_at + kAnswerCrosses) {
+    AddViolation("duplicate", now, id,
+                 "an attempt for a request that had its final answer " +
+                     std::to_string(ToSeconds(now - t.ended_at)) + " s before");
   }
   auto offline = offline_since_.find(backend);
-  if (offline != offline_since_.end() && now > offline->second + FromS(1.05)) {
-    Broke(
+  if (offline != offline_since_.end() && now > offline->second + FromSeconds(1.05)) {
+    AddViolation(
         "drain", now, id,
         "sent to " + day_->backends[static_cast<size_t>(backend)].name + ", which an operator had taken out");
   }
 }
 
-void Judge::Arrived(Micros now, uint32_t id, int backend, Regret regret) {
+void RunChecker::OnAttemptArrived(Micros now, uint32_t id, int backend, Regret regret) {
   Try& t = tries_[id];
   const Arrival& a = day_->arrivals[t.arrival];
   Note('a', now, id, static_cast<uint64_t>(backend));
-  if (t.taken == kNever)
-    Broke("duplicate", now, id, "an attempt for a request that its gateway had not been given");
+  if (t.received_at == kNever)
+    AddViolation("duplicate", now, id, "an attempt for a request that its gateway had not been given");
   if (t.attempts >= day_->try_limit)
-    Broke("duplicate", now, id,
-          "attempt " + std::to_string(t.attempts + 1) + " where " + std::to_string(day_->try_limit) +
-              " are allowed");
+    AddViolation("duplicate", now, id,
+                 "attempt " + std::to_string(t.attempts + 1) + " where " + std::to_string(day_->try_limit) +
+                     " are allowed");
   if (t.attempts++ == 0) {
     double ceiling = 0;
-    t.quota = ground_truth_.SendOn(a.customer, now, a.guess, &ceiling);
+    t.quota_status = ground_truth_.Forward(a.customer, now, a.estimated_units, &ceiling);
     if (ceiling < 0)
-      Broke("ceiling", now, id,
-            "customer " + std::to_string(a.customer) + " is " + std::to_string(-ceiling) +
-                " units past its ceiling and slack");
-    MarkAs(t.quota == Quota::kInside       ? Mark::kInside
-           : t.quota == Quota::kBeyondRate ? Mark::kBeyondRate
-                                           : Mark::kBeyondOpen,
+      AddViolation("ceiling", now, id,
+                   "customer " + std::to_string(a.customer) + " is " + std::to_string(-ceiling) +
+                       " units past its ceiling and slack");
+    MarkAs(t.quota_status == QuotaStatus::kWithinQuota ? DecisionKind::kAdmittedWithinQuota
+           : t.quota_status == QuotaStatus::kOverRate  ? DecisionKind::kAdmittedOverRate
+                                                       : DecisionKind::kAdmittedOverCap,
            now, id);
-    units_on_ += a.guess, units_settled_ += a.guess;
-    if (t.quota != Quota::kInside) {
-      const DayPlan& plan = day_->plans[static_cast<size_t>(day_->customers[a.customer].plan)];
-      units_beyond_ += a.guess, SecondOf(now).beyond_units += a.guess;
+    units_on_ += a.estimated_units, units_settled_ += a.estimated_units;
+    if (t.quota_status != QuotaStatus::kWithinQuota) {
+      const PlanSpec& plan = day_->plans[static_cast<size_t>(day_->customers[a.customer].plan)];
+      units_beyond_ += a.estimated_units, SecondOf(now).beyond_units += a.estimated_units;
       over_cost_ += plan.over_cost * Worth(t.arrival, a.units);
     }
   }
-  ++t.out;
-  ground_truth_.AttemptOut(a.customer);
+  ++t.in_flight;
+  ground_truth_.OnAttemptSent(a.customer);
   ++attempts_, ++SecondOf(now).attempts;
   cross_zone_ +=
       day_->gateway_zone[static_cast<size_t>(t.gateway)] != day_->backends[static_cast<size_t>(backend)].zone
@@ -206,63 +207,66 @@
   if (regret.best_s >= 0) ++regrets_, regret_known_s_ += regret.known_s, regret_best_s_ += regret.best_s;
 }
 
-void Judge::Back(Micros now, uint32_t id, bool served, double work_s) {
+void RunChecker::OnAttemptEnded(Micros now, uint32_t id, bool served, double work_s) {
   Try& t = tries_[id];
   const Arrival& a = day_->arrivals[t.arrival];
-  --t.out;
-  ground_truth_.AttemptBack(a.customer);
+  --t.in_flight;
+  ground_truth_.OnAttemptEnded(a.customer);
   if (!served) wasted_s_ += work_s;
-  if (served) units_settled_ += a.units - a.guess;
-  if (served && t.quota == Quota::kInside) ground_truth_.Settle(a.customer, now, a.guess, a.units);
+  if (served) units_settled_ += a.units - a.estimated_units;
+  if (served && t.quota_status == QuotaStatus::kWithinQuota)
+    ground_truth_.Settle(a.customer, now, a.estimated_units, a.units);
 }
 
-void Judge::MarkAs(Mark mark, Micros now, uint32_t id) {
+void RunChecker::MarkAs(DecisionKind mark, Micros now, uint32_t id) {
   Note('m', now, id, static_cast<uint64_t>(mark));
   ++SecondOf(now).marks[static_cast<size_t>(mark)];
 }
 
-void Judge::Answered(Micros now, uint32_t id, Final final, bool room) {
+void RunChecker::OnTryAnswered(Micros now, uint32_t id, TryOutcome final, bool room) {
   Try& t = tries_[id];
   const Arrival& a = day_->arrivals[t.arrival];
-  const DayClass& cls = day_->classes[static_cast<size_t>(a.cls)];
+  const ClassSpec& cls = day_->classes[static_cast<size_t>(a.class_index)];
   Note('f', now, id, static_cast<uint64_t>(final));
-  Say(What::kAnswered, now, id);
-  if (t.told && t.ended != kNever && now <= t.sent + t.patience)
-    Broke("one answer", now, id, "a second final answer");
-  bool late_client = now > t.sent + t.patience;
-  t.ended = now, t.told = true, t.final = final;
+  Say(HistoryEventKind::kRequestAnswered, now, id);
+  if (t.closed && t.ended_at != kNever && now <= t.sent_at + t.timeout)
+    AddViolation("one answer", now, id, "a second final answer");
+  bool late_client = now > t.sent_at + t.timeout;
+  t.ended_at = now, t.closed = true, t.outcome = final;
   open_at_[static_cast<size_t>(t.gateway)].erase(id);
-  bool held_long = now - t.sent > t.patience / 2 && t.attempts == 0;
-  if (final == Final::kServed && t.attempts == 0)
-    Broke("one answer", now, id, "served, though no attempt reached a backend");
-  if (final == Final::kServed && !late_client) {
+  bool held_long = now - t.sent_at > t.timeout / 2 && t.attempts == 0;
+  if (final == TryOutcome::kServed && t.attempts == 0)
+    AddViolation("one answer", now, id, "served, though no attempt reached a backend");
+  if (final == TryOutcome::kServed && !late_client) {
     ++served_;
-    latency_(std::max(2e-4, ToS(now - t.sent)));
-    bool in_time = now <= a.at + FromS(cls.aim_s);
-    const DayPlan& plan = day_->plans[static_cast<size_t>(day_->customers[a.customer].plan)];
+    latency_(std::max(2e-4, ToSeconds(now - t.sent_at)));
+    bool in_time = now <= a.at + FromSeconds(cls.aim_s);
+    const PlanSpec& plan = day_->plans[static_cast<size_t>(day_->customers[a.customer].plan)];
     if (done_[t.arrival] == 0 && in_time && a.at >= kFirstCounted) {
-      double worth = Worth(t.arrival, a.units) * (t.quota == Quota::kInside ? 1 : plan.over_worth);
+      double worth =
+          Worth(t.arrival, a.units) * (t.quota_status == QuotaStatus::kWithinQuota ? 1 : plan.over_worth);
       SecondOf(a.at).served += worth;
       plan_served_[static_cast<size_t>(day_->customers[a.customer].plan)] += worth;
     }
     if (done_[t.arrival] != 1) done_[t.arrival] = in_time ? 1 : 2;
-    losses_.Set(t.arrival, !in_time                    ? Loss::kLate
-                           : t.quota == Quota::kInside ? Loss::kServed
-                                                       : Loss::kBeyond);
+    losses_.Set(t.arrival, !in_time                                      ? Loss::kServedLate
+                           : t.quota_status == QuotaStatus::kWithinQuota ? Loss::kServed
+                                                                         : Loss::kServedOverQuota);
     return;
   }
   losses_.Set(t.arrival, Loss::kFailed);
-  if (final == Final::kRefused) {
+  if (final == TryOutcome::kRefused) {
     ++refused_;
     if (t.attempts == 0) {
-      Quota quota = ground_truth_.Look(a.customer, now, a.guess);
-      auto [mark, loss] = quota == Quota::kBeyondRate   ? std::pair(Mark::kForQuota, Loss::kForQuota)
-                          : quota == Quota::kBeyondOpen ? std::pair(Mark::kForCap, Loss::kForCap)
-                          : room                        ? std::pair(Mark::kNeedless, Loss::kNeedless)
-                                                        : std::pair(Mark::kForRoom, Loss::kForRoom);
+      QuotaStatus quota = ground_truth_.StatusOf(a.customer, now, a.estimated_units);
+      auto [mark, loss] =
+          quota == QuotaStatus::kOverRate  ? std::pair(DecisionKind::kRefusedForQuota, Loss::kRefusedForQuota)
+          : quota == QuotaStatus::kOverCap ? std::pair(DecisionKind::kRefusedForCap, Loss::kRefusedForCap)
+          : room ? std::pair(DecisionKind::kRefusedNeedlessly, Loss::kRefusedNeedlessly)
+                 : std::pair(DecisionKind::kRefusedNoCapacity, Loss::kRefusedNoCapacity);
       MarkAs(mark, now, id);
       losses_.Set(t.arrival, loss);
-      if (ground_truth_.Level(a.customer, now) >= 0.5) ++refused_with_half_;
+      if (ground_truth_.TokenShare(a.customer, now) >= 0.5) ++refused_with_half_;
     }
   } else {
     ++failed_, ++SecondOf(now).failed;
@@ -270,92 +274,93 @@
   if (held_long) hidden_worth_ += Worth(t.arrival, a.units);
 }
 
-void Judge::Left(Micros now, uint32_t id) {
+void RunChecker::OnClientLeft(Micros now, uint32_t id) {
   Try& t = tries_[id];
-  if (t.told) return;
+  if (t.closed) return;
   Note('l', now, id);
-  Say(What::kGone, now, id);
-  losses_.Set(t.arrival, Loss::kLeft);
-  t.told = true;
-  t.ended = now;
+  Say(HistoryEventKind::kClientGone, now, id);
+  losses_.Set(t.arrival, Loss::kNoAnswer);
+  t.closed = true;
+  t.ended_at = now;
   open_at_[static_cast<size_t>(t.gateway)].erase(id);
   ++failed_, ++SecondOf(now).failed;
   if (t.attempts == 0) hidden_worth_ += Worth(t.arrival, day_->arrivals[t.arrival].units);
 }
 
-void Judge::Lost(Micros now, uint32_t id, const std::string& how) {
+void RunChecker::OnTryLost(Micros now, uint32_t id, const std::string& how) {
   Try& t = tries_[id];
   Note('x', now, id);
   open_at_[static_cast<size_t>(t.gateway)].erase(id);
-  if (t.crossed_death) return;
-  t.told = true, t.ended = now;
+  if (t.gateway_ended) return;
+  t.closed = true, t.ended_at = now;
   ++lost_;
-  Broke("one answer", now, id, how);
+  AddViolation("one answer", now, id, how);
 }
 
-void Judge::GatewayEnded(Micros now, int gateway) {
+void RunChecker::OnGatewayEnded(Micros now, int gateway) {
   Note('g', now, static_cast<uint64_t>(gateway));
-  for (uint32_t id : open_at_[static_cast<size_t>(gateway)]) tries_[id].crossed_death = true;
+  for (uint32_t id : open_at_[static_cast<size_t>(gateway)]) tries_[id].gateway_ended = true;
   open_at_[static_cast<size_t>(gateway)].clear();
 }
 
-void Judge::KilledAfterItsTime(Micros now, int gateway, Micros since) {
+void RunChecker::OnGatewayKilledAfterGrace(Micros now, int gateway, Micros since) {
   std::set<uint32_t> open = open_at_[static_cast<size_t>(gateway)];
   for (uint32_t id : open) {
-    if (tries_[id].taken > since) Lost(now, id, "SIGKILL found it unanswered, taken late after SIGTERM");
+    if (tries_[id].received_at > since)
+      OnTryLost(now, id, "SIGKILL found it unanswered, taken late after SIGTERM");
   }
 }
 
-void Judge::Crashed(Micros now, int gateway, const std::string& how) {
-  Broke("crash", now, UINT32_MAX, "gateway " + std::to_string(gateway) + " " + how);
+void RunChecker::OnGatewayCrashed(Micros now, int gateway, const std::string& how) {
+  AddViolation("crash", now, UINT32_MAX, "gateway " + std::to_string(gateway) + " " + how);
 }
 
-void Judge::Tipped(Micros now, int backend, const Backend::Tip& tip) {
+void RunChecker::OnBackendTipped(Micros now, int backend, const Backend::Tip& tip) {
   Note('t', now, static_cast<uint64_t>(backend));
   ++tipped_;
-  if (tip.told_share < kFullPush) return;
+  if (tip.informed_share < kFullPush) return;
   char text[160];
   std::snprintf(text, sizeof(text),
                 " fell over: sent %.2f s of work in %.1f s where it bears %.2f, %.1f s after its start, "
                 "%.0f%% by gateways that were told",
-                tip.pushed_s, day_->tip_s, tip.bears_s, tip.age_s, 100 * tip.told_share);
-  Broke("cold backend", now, UINT32_MAX, day_->backends[static_cast<size_t>(backend)].name + text);
+                tip.received_s, day_->tip_s, tip.limit_s, tip.age_s, 100 * tip.informed_share);
+  AddViolation("cold backend", now, UINT32_MAX, day_->backends[static_cast<size_t>(backend)].name + text);
 }
 
-void Judge::CounterCalled(Micros now, int gateway, double amount) {
+void RunChecker::OnCounterCall(Micros now, int gateway, double amount) {
   Note('c', now, static_cast<uint64_t>(gateway));
   ++calls_, ++SecondOf(now).calls;
   units_told_ += amount;
 }
 
-void Judge::Handshake(Micros now) { ++handshakes_, ++SecondOf(now).handshakes; }
+void RunChecker::OnHandshake(Micros now) { ++handshakes_, ++SecondOf(now).handshakes; }
 
-void Judge::Offline(Micros now, int backend, bool offline) {
+void RunChecker::OnBackendOffline(Micros now, int backend, bool offline) {
   if (offline)
     offline_since_.insert({backend, now});
   else
     offline_since_.erase(backend);
 }
 
-Judge::Seen Judge::SeenAt(int gateway) const {
-  Seen seen;
+RunChecker::ClassTotals RunChecker::TotalsOf(int gateway) const {
+  ClassTotals seen;
   for (auto* counts : {&seen.served, &seen.refused, &seen.failed, &seen.gone})
     counts->assign(day_->classes.size(), 0);
   for (const Try& t : tries_) {
     if (t.gateway != gateway) continue;
-    seen.attempts += static_cast<uint64_t>(t.attempts + t.swallowed);
-    auto cls = static_cast<size_t>(day_->arrivals[t.arrival].cls);
-    if (t.taken == kNever) continue;
-    auto& counts = !t.final                      ? seen.gone
-                   : *t.final == Final::kServed  ? seen.served
-                   : *t.final == Final::kRefused ? seen.refused
-                                                 : seen.failed;
+    seen.attempts += static_cast<uint64_t>(t.attempts + t.undelivered);
+    auto cls = static_cast<size_t>(day_->arrivals[t.arrival].class_index);
+    if (t.received_at == kNever) continue;
+    auto& counts = !t.outcome                           ? seen.gone
+                   : *t.outcome == TryOutcome::kServed  ? seen.served
+                   : *t.outcome == TryOutcome::kRefused ? seen.refused
+                                                        : seen.failed;
     ++counts[cls];
   }
   return seen;
 }
 
-nlohmann::json Judge::Report(Micros now) const {
+nlohmann::json RunChecker::Report(Micros now) const {
   nlohmann::json report;
   double offered = 0, served = 0;
   // Of a day that ended early, what was asked for until then.
@@ -371,7 +376,7 @@
   }
   for (const Second& s : seconds_) served += s.served;
   double worst_window = 1, worst_plan = 1;
-  auto length = static_cast<size_t>(ToS(std::min(now, day_->length)));
+  auto length = static_cast<size_t>(ToSeconds(std::min(now, day_->length)));
   for (size_t from = 1;
        from + static_cast<size_t>(kWindowS) <= std::max(length, static_cast<size_t>(kWindowS) + 1); ++from) {
     double o = 0, s = 0;
@@ -385,11 +390,12 @@
   }
   // Worth inside quotas that failed, or was served, only after its aim had gone by.
   std::vector<Micros> last(day_->arrivals.size(), 0);
-  for (const Try& t : tries_) last[t.arrival] = std::max(last[t.arrival], t.ended == kNever ? 0 : t.ended);
+  for (const Try& t : tries_)
+    last[t.arrival] = std::max(last[t.arrival], t.ended_at == kNever ? 0 : t.ended_at);
   double late_worth = 0;
   for (uint32_t i = 0; i < last.size(); ++i) {
     const Arrival& a = day_->arrivals[i];
-    bool late = last[i] > a.at + FromS(day_->classes[static_cast<size_t>(a.cls)].aim_s);
+    bool late = last[i] > a.at + FromSeconds(day_->classes[static_cast<size_t>(a.class_index)].aim_s);
     if (done_[i] != 1 && inside_[i] && late && a.at >= kFirstCounted) late_worth += Worth(i, a.units);
   }
   nlohmann::json prices = {
@@ -399,9 +405,9 @@
       {"late", day_->late_price * Share(late_worth, offered)},
       {"cross_zone", day_->cross_zone_price * Share(static_cast<double>(cross_zone_), first_tries)},
       {"handshake", day_->handshake_price * Share(static_cast<double>(handshakes_), first_tries)},
-      {"rude",
-       day_->rude_price * Share(static_cast<double>(rude_left_), static_cast<double>(misbehaving_peers_))},
-      {"hidden", day_->hidden_price * Share(hidden_worth_, offered)},
+      {"rude", day_->misbehaving_peer_price *
+                   Share(static_cast<double>(rude_left_), static_cast<double>(misbehaving_peers_))},
+      {"hidden", day_->held_request_price * Share(hidden_worth_, offered)},
   };
   double whole = Share(served, offered);
   double g = day_->goal_whole * whole + day_->goal_window * worst_window + day_->goal_plan * worst_plan;
@@ -411,7 +417,7 @@
   }
   report["scenario"] = day_->scenario, report["seed"] = day_->seed;
   report["gateways"] = day_->gateways, report["backends"] = day_->backends.size();
-  report["length_s"] = ToS(day_->length), report["until_s"] = ToS(now);
+  report["length_s"] = ToSeconds(day_->length), report["until_s"] = ToSeconds(now);
   report["g"] = Round(g), report["served"] = Round(whole), report["worst_window"] = Round(worst_window),
   report["worst_plan"] = Round(worst_plan);
   report["prices"] = prices;
@@ -421,11 +427,11 @@
   });
   report["rules"] = broken_ == 0 ? "kept" : "broken";
   report["broken"] = broken_;
-  for (const Breach& b : breaches_) {
+  for (const Violation& b : breaches_) {
     report["breaches"].push_back({{"rule", b.rule},
-                                  {"at_s", ToS(b.at)},
+                                  {"at_s", ToSeconds(b.at)},
                                   {"request", b.request},
-                                  {"what", b.what},
+                                  {"what", b.description},
                                   {"gateways", b.gateways}});
   }
   nlohmann::json& counts = report["counts"];
@@ -441,11 +447,11 @@
             {"rude", misbehaving_peers_},
             {"calls", calls_},
             {"handshakes", handshakes_}};
-  std::array<uint64_t, static_cast<size_t>(Mark::kCount)> marks{};
+  std::array<uint64_t, static_cast<size_t>(DecisionKind::kCount)> marks{};
   for (const Second& s : seconds_) {
     for (size_t m = 0; m < marks.size(); ++m) marks[m] += s.marks[m];
   }
-  for (size_t m = 0; m < marks.size(); ++m) report["marks"][Name(static_cast<Mark>(m))] = marks[m];
+  for (size_t m = 0; m < marks.size(); ++m) report["marks"][Name(static_cast<DecisionKind>(m))] = marks[m];
   report["refused_share"] = Round(Share(static_cast<double>(refused_), static_cast<double>(tries_.size())));
   report["refused_with_half_share"] =
       Round(Share(static_cast<double>(refused_with_half_), static_cast<double>(refused_)));
@@ -468,11 +474,12 @@
     }
     report["latency_ms"][name] = std::round(at * 1e4) / 10;
   }
-  for (const Trouble& t : day_->troubles) {
-    report["troubles"].push_back({{"kind", t.kind}, {"from_s", ToS(t.from)}, {"to_s", ToS(t.to)}});
+  for (const Disturbance& t : day_->disturbances) {
+    report["troubles"].push_back(
+        {{"kind", t.kind}, {"from_s", ToSeconds(t.from)}, {"to_s", ToSeconds(t.to)}});
   }
   nlohmann::json& series = report["series"];
-  for (size_t i = 0; i < seconds_.size() && i <= static_cast<size_t>(ToS(now)); ++i) {
+  for (size_t i = 0; i < seconds_.size() && i <= static_cast<size_t>(ToSeconds(now)); ++i) {
     const Second& s = seconds_[i];
     series["offered"].push_back(Round(s.offered)), series["served"].push_back(Round(s.served));
     series["asked"].push_back(s.asked), series["tries"].push_back(s.tries),
@@ -480,7 +487,8 @@
     series["calls"].push_back(s.calls), series["failed"].push_back(s.failed),
         series["handshakes"].push_back(s.handshakes);
     series["beyond_units"].push_back(Round(s.beyond_units));
-    for (size_t m = 0; m < s.marks.size(); ++m) series[Name(static_cast<Mark>(m))].push_back(s.marks[m]);
+    for (size_t m = 0; m < s.marks.size(); ++m)
+      series[Name(static_cast<DecisionKind>(m))].push_back(s.marks[m]);
   }
   char digest[17];
   std::snprintf(digest, sizeof(digest), "%016llx", static_cast<unsigned long long>(digest_));
--- a/lab/model/judge.h
+++ b/lab/model/judge.h
@@ -21,90 +21,101 @@
 
 namespace lemonchute::lab {
 
-enum class Final { kServed, kRefused, kFailed };
+enum class TryOutcome { kServed, kRefused, kFailed };
 
-// One try of a client at a gateway; its id is its place in Judge::tries().
+// One try of a client at a gateway; its id is its place in RunChecker::try_count().
 struct Try {
   uint32_t arrival = 0;
   int number = 0;  // 0: the first
   int gateway = 0;
-  Micros sent = 0, patience = 0;
+  Micros sent_at = 0, timeout = 0;
   // What became of it.
-  Micros taken = kNever, ended = kNever;
-  int attempts = 0, out = 0, swallowed = 0;
-  bool crossed_death = false;  // its gateway ended while it was open
-  bool told = false;           // a final answer was given, or the client had gone
-  std::optional<Final> final;  // as the client got it
-  Quota quota = Quota::kInside;
+  Micros received_at = kNever, ended_at = kNever;
+  int attempts = 0, in_flight = 0, undelivered = 0;
+  bool gateway_ended = false;         // its gateway ended while it was open
+  bool closed = false;                // a final answer was given, or the client had gone
+  std::optional<TryOutcome> outcome;  // as the client got it
+  QuotaStatus quota_status = QuotaStatus::kWithinQuota;
 };
 
 // What a refusal or an admission was, by the truth.
-enum class Mark { kInside, kBeyondRate, kBeyondOpen, kForQuota, kForCap, kForRoom, kNeedless, kCount };
-const char* Name(Mark mark);
+enum class DecisionKind {
+  kAdmittedWithinQuota,
+  kAdmittedOverRate,
+  kAdmittedOverCap,
+  kRefusedForQuota,
+  kRefusedForCap,
+  kRefusedNoCapacity,
+  kRefusedNeedlessly,
+  kCount
+};
+const char* Name(DecisionKind mark);
 
-struct Breach {
-  std::string rule, what;
+struct Violation {
+  std::string rule, description;
   Micros at = 0;
   uint64_t request = 0;
   std::vector<int> gateways;  // that the client's request crossed, all its tries together
 };
 
-class Judge {
+class RunChecker {
  public:
-  Judge(const Day& day, const Discovery& discovery);
+  RunChecker(const RunSpec& day, const Discovery& discovery);
   // Requests and their answers are put into `history` too, from here on. It outlives the judge.
-  void Keep(History* history) { history_ = history; }
+  void RecordTo(History* history) { history_ = history; }
 
-  uint32_t Sent(Micros now, uint32_t arrival, int number, int gateway, Micros patience);
-  void Taken(Micros now, uint32_t id);
+  uint32_t OnTrySent(Micros now, uint32_t arrival, int number, int gateway, Micros patience);
+  void OnTryReceived(Micros now, uint32_t id);
   // The gateway could not be reached or closed the connection unheard. Failed, and not lost.
-  void Unheard(Micros now, uint32_t id);
+  void OnTryUndelivered(Micros now, uint32_t id);
   // An attempt begins to be sent: the moment that rules on drains go by.
-  void Sending(Micros now, uint32_t id, int backend);
+  void OnAttemptStarted(Micros now, uint32_t id, int backend);
   // An attempt has reached a backend whole; it is out from then on. A negative regret was not taken.
-  void Arrived(Micros now, uint32_t id, int backend, Regret regret);
+  void OnAttemptArrived(Micros now, uint32_t id, int backend, Regret regret);
   // An attempt was written whole and nothing of it arrived: its backend is cut off or silent.
-  void Swallowed(uint32_t id) { ++tries_[id].swallowed; }
+  void OnAttemptUndelivered(uint32_t id) { ++tries_[id].undelivered; }
   // It is out no more. `work_s` was done for it, in vain unless it served.
-  void Back(Micros now, uint32_t id, bool served, double work_s);
+  void OnAttemptEnded(Micros now, uint32_t id, bool served, double work_s);
   // Work that a backend did for an attempt after it was out no more.
-  void Wasted(double work_s) { wasted_s_ += work_s; }
+  void AddWastedWork(double work_s) { wasted_s_ += work_s; }
   // The client has a whole final answer. `room`: a refusal's gateway knew of a backend with a free slot.
-  void Answered(Micros now, uint32_t id, Final final, bool room);
+  void OnTryAnswered(Micros now, uint32_t id, TryOutcome final, bool room);
   // The client has left, or its patience is over.
-  void Left(Micros now, uint32_t id);
+  void OnClientLeft(Micros now, uint32_t id);
   // The gateway ended this request's connection without a whole answer, or never answered.
-  void Lost(Micros now, uint32_t id, const std::string& how);
-  void GatewayEnded(Micros now, int gateway);
+  void OnTryLost(Micros now, uint32_t id, const std::string& how);
+  void OnGatewayEnded(Micros now, int gateway);
   // It is killed after the time that it had to end by itself: what it took after `since` and holds is lost.
-  void KilledAfterItsTime(Micros now, int gateway, Micros since);
+  void OnGatewayKilledAfterGrace(Micros now, int gateway, Micros since);
   // A process of it starts: what was told to the one before counts as told from here on.
-  void GatewayStarted(Micros now, int gateway) { started_[static_cast<size_t>(gateway)] = now; }
-  void Crashed(Micros now, int gateway, const std::string& how);
-  void Tipped(Micros now, int backend, const Backend::Tip& tip);
-  void CounterCalled(Micros now, int gateway, double amount);
-  void Handshake(Micros now);
+  void OnGatewayStarted(Micros now, int gateway) { started_[static_cast<size_t>(gateway)] = now; }
+  void OnGatewayCrashed(Micros now, int gateway, const std::string& how);
+  void OnBackendTipped(Micros now, int backend, const Backend::Tip& tip);
+  void OnCounterCall(Micros now, int gateway, double amount);
+  void OnHandshake(Micros now);
   // A peer that sent no proper request was given an error or a close in time, or was not.
-  void RudePeer(bool dealt_with) { ++misbehaving_peers_, rude_left_ += dealt_with ? 0 : 1; }
-  void Offline(Micros now, int backend, bool offline);
-  void Scaled(double times) { ground_truth_.Scale(times); }
-  void Broke(const std::string& rule, Micros now, uint32_t id, const std::string& what);
+  void OnMisbehavingPeer(bool rejected_in_time) {
+    ++misbehaving_peers_, rude_left_ += rejected_in_time ? 0 : 1;
+  }
+  void OnBackendOffline(Micros now, int backend, bool offline);
+  void OnQuotasScaled(double times) { ground_truth_.ScaleQuotas(times); }
+  void AddViolation(const std::string& rule, Micros now, uint32_t id, const std::string& what);
 
   // Whether `gateway` has been told by `now` that `backend` is there, drains or has left; the last word
   // counts.
-  Listed ToldState(int gateway, int backend, Micros now, Micros* since) const;
+  ListState AnnouncedState(int gateway, int backend, Micros now, Micros* since) const;
 
   // What peers saw of one gateway, by class: final answers, tries whose client had gone, attempts.
-  struct Seen {
+  struct ClassTotals {
     std::vector<uint64_t> served, refused, failed, gone;
     uint64_t attempts = 0;
   };
-  Seen SeenAt(int gateway) const;
+  ClassTotals TotalsOf(int gateway) const;
 
-  const Try& At(uint32_t id) const { return tries_[id]; }
-  size_t tries() const { return tries_.size(); }
-  const std::vector<Breach>& breaches() const { return breaches_; }
-  uint64_t broken() const { return broken_; }
+  const Try& GetTry(uint32_t id) const { return tries_[id]; }
+  size_t try_count() const { return tries_.size(); }
+  const std::vector<Violation>& violations() const { return breaches_; }
+  uint64_t violation_count() const { return broken_; }
   // Everything about the day as it stands: figures, prices, marks, series by the second, breaches.
   nlohmann::json Report(Micros now) const;
 
@@ -112,17 +123,17 @@
   struct Second {
     double offered = 0, served = 0;  // worth inside quotas, by when it was asked
     double beyond_units = 0;
-    std::array<uint32_t, static_cast<size_t>(Mark::kCount)> marks{};
+    std::array<uint32_t, static_cast<size_t>(DecisionKind::kCount)> marks{};
     uint32_t asked = 0, tries = 0, attempts = 0, calls = 0, failed = 0, handshakes = 0;
   };
   double Worth(uint32_t arrival, double units) const;
   double Offered(uint32_t arrival) const;
   Second& SecondOf(Micros now);
-  void MarkAs(Mark mark, Micros now, uint32_t id);
-  void Say(What what, Micros now, uint32_t id);
+  void MarkAs(DecisionKind mark, Micros now, uint32_t id);
+  void Say(HistoryEventKind what, Micros now, uint32_t id);
   void Note(char what, Micros now, uint64_t a, uint64_t b = 0);
 
-  const Day* day_;
+  const RunSpec* day_;
   const Discovery* discovery_;
   GroundTruth ground_truth_;
   std::vector<bool> inside_;  // by first tries
@@ -134,7 +145,7 @@
   std::vector<Micros> started_;  // by gateway: its latest process
   std::map<int, Micros> offline_since_;
   std::vector<std::set<uint32_t>> open_at_;  // by gateway: tries taken and not ended
-  std::vector<Breach> breaches_;
+  std::vector<Violation> breaches_;
   uint64_t broken_ = 0;
   std::vector<Second> seconds_;
   std::vector<double> plan_served_;
--- a/lab/model/losses.cpp
+++ b/lab/model/losses.cpp
@@ -7,15 +7,15 @@
   switch (loss) {
     case Loss::kUnanswered: return "unanswered";
     case Loss::kServed: return "served";
-    case Loss::kNeedless: return "refused needlessly";
-    case Loss::kForQuota: return "refused for its quota";
-    case Loss::kForCap: return "refused for its cap";
-    case Loss::kForRoom: return "refused for want of room";
-    case Loss::kBeyond: return "served beyond its quota";
-    case Loss::kLate: return "served late";
+    case Loss::kRefusedNeedlessly: return "refused needlessly";
+    case Loss::kRefusedForQuota: return "refused for its quota";
+    case Loss::kRefusedForCap: return "refused for its cap";
+    case Loss::kRefusedNoCapacity: return "refused for want of room";
+    case Loss::kServedOverQuota: return "served beyond its quota";
+    case Loss::kServedLate: return "served late";
     case Loss::kFailed: return "failed";
-    case Loss::kUnheard: return "not heard by a gateway";
-    case Loss::kLeft: return "no answer in its time";
+    case Loss::kGatewayUnreachable: return "not heard by a gateway";
+    case Loss::kNoAnswer: return "no answer in its time";
     case Loss::kCount: break;
   }
   return "";
--- a/lab/model/losses.h
+++ b/lab/model/losses.h
@@ -10,24 +10,24 @@
 namespace lemonchute::lab {
 
 enum class Loss : uint8_t {
-  kUnanswered,  // nothing came of it by the day's end
-  kServed,      // no loss
-  kNeedless,    // refused, though its true store held the units and a known backend had a free slot
-  kForQuota,    // refused rightly: retries and others of its customer had used the units
-  kForCap,      // likewise, the cap on attempts out
-  kForRoom,     // refused with no free slot anywhere
-  kBeyond,      // served, but sent on beyond the quota: worth nothing
-  kLate,        // served after its aim
-  kFailed,      // an error, or refused after attempts
-  kUnheard,     // its gateway was not there
-  kLeft,        // no answer in its time, or its client left early
+  kUnanswered,          // nothing came of it by the day's end
+  kServed,              // no loss
+  kRefusedNeedlessly,   // refused, though its true store held the units and a known backend had a free slot
+  kRefusedForQuota,     // refused rightly: retries and others of its customer had used the units
+  kRefusedForCap,       // likewise, the cap on attempts out
+  kRefusedNoCapacity,   // refused with no free slot anywhere
+  kServedOverQuota,     // served, but sent on beyond the quota: worth nothing
+  kServedLate,          // served after its aim
+  kFailed,              // an error, or refused after attempts
+  kGatewayUnreachable,  // its gateway was not there
+  kNoAnswer,            // no answer in its time, or its client left early
   kCount
 };
 const char* Name(Loss loss);
 
 class Losses {
  public:
-  explicit Losses(const Day& day) : last_(day.arrivals.size(), Loss::kUnanswered) {}
+  explicit Losses(const RunSpec& day) : last_(day.arrivals.size(), Loss::kUnanswered) {}
   void Set(uint32_t arrival, Loss loss) { last_[arrival] = loss; }
   // By name, the share of `offered`; `worth` is an arrival's, nought where it does not count.
   template <typename Worth>
--- a/lab/model/paths.cpp
+++ b/lab/model/paths.cpp
@@ -17,15 +17,15 @@
 
 void Join(const PathFault& fault, PathState* state) {
   auto either = [](double a, double b) { return 1 - (1 - a) * (1 - b); };
-  switch (fault.harm) {
-    case Harm::kCut: state->cut = true; break;
-    case Harm::kBlackHole: state->black_hole = true; break;
-    case Harm::kReset: state->resets = true; break;
-    case Harm::kDelay: state->delay_s += fault.size * 1e-3; break;
-    case Harm::kLoss: state->loss = either(state->loss, fault.size); break;
-    case Harm::kDuplicate: state->duplicate = either(state->duplicate, fault.size); break;
-    case Harm::kReorder: state->reorder = either(state->reorder, fault.size); break;
-    case Harm::kTrickle:
+  switch (fault.kind) {
+    case PathFaultKind::kCut: state->cut = true; break;
+    case PathFaultKind::kBlackHole: state->black_hole = true; break;
+    case PathFaultKind::kReset: state->resets = true; break;
+    case PathFaultKind::kDelay: state->delay_s += fault.size * 1e-3; break;
+    case PathFaultKind::kLoss: state->loss = either(state->loss, fault.size); break;
+    case PathFaultKind::kDuplicate: state->duplicate = either(state->duplicate, fault.size); break;
+    case PathFaultKind::kReorder: state->reorder = either(state->reorder, fault.size); break;
+    case PathFaultKind::kThrottle:
       state->bytes_per_s =
           state->bytes_per_s > 0 ? std::min(state->bytes_per_s, fault.size) : std::max(1.0, fault.size);
       break;
@@ -40,18 +40,19 @@
   return numbers;
 }
 
-PathState Paths::StateOf(int gateway, Far far, int other, bool out) const {
+PathState Paths::StateOf(int gateway, RemoteParty far, int other, bool out) const {
   PathState state;
-  if (far == Far::kGateways) state.loss = day_->peer_loss;
+  if (far == RemoteParty::kGateways) state.loss = day_->peer_loss;
   for (size_t i = 0; i < on_.size(); ++i) {
     const PathFault& fault = day_->path_faults[i];
-    if (on_[i] == 0 || fault.far != far) continue;
-    bool there = fault.ways != Ways::kIn, back = fault.ways != Ways::kOut;
-    bool ours = Names(fault.gateways, gateway) &&
-                (far == Far::kCounter || far == Far::kDiscovery || Names(fault.others, other));
+    if (on_[i] == 0 || fault.remote != far) continue;
+    bool there = fault.direction != PathDirection::kIn, back = fault.direction != PathDirection::kOut;
+    bool ours =
+        Names(fault.gateways, gateway) &&
+        (far == RemoteParty::kCounter || far == RemoteParty::kDiscovery || Names(fault.others, other));
     bool hit = ours && (out ? there : back);
     // Between gateways a path has two near ends: the same fault, seen from the other one.
-    if (far == Far::kGateways && Names(fault.gateways, other) && Names(fault.others, gateway))
+    if (far == RemoteParty::kGateways && Names(fault.gateways, other) && Names(fault.others, gateway))
       hit |= out ? back : there;
     if (hit) Join(fault, &state);
   }
@@ -60,20 +61,20 @@
 
 Micros Paths::StreamDelay(const PathState& state, size_t bytes) {
   if (on_.empty()) return 0;
-  double wait = state.delay_s * random_.Spread(day_->jitter);
+  double wait = state.delay_s * random_.LognormalFactor(day_->jitter);
   if (random_.Chance(state.loss)) wait += kSentAgainS;
   if (state.bytes_per_s > 0) wait += static_cast<double>(bytes) / state.bytes_per_s;
-  return FromS(wait);
+  return FromSeconds(wait);
 }
 
-std::vector<Micros> Paths::Datagram(int from, int to, Micros way) {
-  PathState state = Out(from, Far::kGateways, to);
+std::vector<Micros> Paths::DatagramDelays(int from, int to, Micros way) {
+  PathState state = Outbound(from, RemoteParty::kGateways, to);
   std::vector<Micros> copies;
   if (!state.Passes() || random_.Chance(state.loss)) return copies;
   size_t number = random_.Chance(state.duplicate) ? 2 : 1;
   for (size_t i = 0; i < number; ++i) {
-    Micros wait = way + FromS(state.delay_s * random_.Spread(day_->jitter));
-    if (random_.Chance(state.reorder)) wait += FromS(kReorderedWays * ToS(wait));
+    Micros wait = way + FromSeconds(state.delay_s * random_.LognormalFactor(day_->jitter));
+    if (random_.Chance(state.reorder)) wait += FromSeconds(kReorderedWays * ToSeconds(wait));
     copies.push_back(wait);
   }
   return copies;
--- a/lab/model/paths.h
+++ b/lab/model/paths.h
@@ -23,27 +23,31 @@
 
 class Paths {
  public:
-  explicit Paths(const Day& day)
+  explicit Paths(const RunSpec& day)
       : day_(&day), random_(day.seed, Stream::kPaths), on_(day.path_faults.size(), 0) {}
 
-  void Set(int fault, bool on) { on_[static_cast<size_t>(fault)] = on ? 1 : 0; }
+  void SetActive(int fault, bool on) { on_[static_cast<size_t>(fault)] = on ? 1 : 0; }
   // From a gateway to the other end, and back. `other`: a gateway or backend; of no meaning for the rest.
-  PathState Out(int gateway, Far far, int other = 0) const { return StateOf(gateway, far, other, true); }
-  PathState In(int gateway, Far far, int other = 0) const { return StateOf(gateway, far, other, false); }
-  bool Passes(int gateway, Far far, int other = 0) const {
-    return Out(gateway, far, other).Passes() && In(gateway, far, other).Passes();
+  PathState Outbound(int gateway, RemoteParty far, int other = 0) const {
+    return StateOf(gateway, far, other, true);
+  }
+  PathState Inbound(int gateway, RemoteParty far, int other = 0) const {
+    return StateOf(gateway, far, other, false);
+  }
+  bool Passes(int gateway, RemoteParty far, int other = 0) const {
+    return Outbound(gateway, far, other).Passes() && Inbound(gateway, far, other).Passes();
   }
   // The gateways that a fault befalls at its near ends.
   std::vector<int> GatewaysOf(int fault) const;
   // A packet of a stream: what the faults add to its time. A lost one is sent again by the kernel.
   Micros StreamDelay(const PathState& state, size_t bytes);
   // When each copy of a datagram arrives, from now; none where it is lost. `way`: the network's own time.
-  std::vector<Micros> Datagram(int from, int to, Micros way);
+  std::vector<Micros> DatagramDelays(int from, int to, Micros way);
 
  private:
-  PathState StateOf(int gateway, Far far, int other, bool out) const;
+  PathState StateOf(int gateway, RemoteParty far, int other, bool out) const;
 
-  const Day* day_;
+  const RunSpec* day_;
   Random random_;
   std::vector<char> on_;
 };
--- a/lab/model/random.h
+++ b/lab/model/random.h
@@ -42,7 +42,7 @@
   }
   bool Chance(double share) { return share > 0 && Uniform(0, 1) < share; }
   // From 0 to n - 1; n is at least 1.
-  int Below(int n) { return boost::random::uniform_int_distribution<int>(0, n - 1)(engine_); }
+  int UniformInt(int n) { return boost::random::uniform_int_distribution<int>(0, n - 1)(engine_); }
   double Exponential(double mean) {
     return mean > 0 ? boost::random::exponential_distribution<double>(1 / mean)(engine_) : 0;
   }
@@ -52,7 +52,7 @@
     return boost::random::gamma_distribution<double>(1 / (cv * cv), mean * cv * cv)(engine_);
   }
   // Mean 1 and the given coefficient of variation, lognormal.
-  double Spread(double cv) {
+  double LognormalFactor(double cv) {
     if (cv <= 0) return 1;
     double variance = std::log1p(cv * cv);
     return boost::random::lognormal_distribution<double>(-variance / 2, std::sqrt(variance))(engine_);
@@ -60,7 +60,7 @@
   template <typename T>
   void Shuffle(std::vector<T>* items) {
     for (size_t i = items->size(); i > 1; --i)
-      std::swap((*items)[i - 1], (*items)[static_cast<size_t>(Below(static_cast<int>(i)))]);
+      std::swap((*items)[i - 1], (*items)[static_cast<size_t>(UniformInt(static_cast<int>(i)))]);
   }
   uint64_t Bits() { return engine_(); }
 
--- a/lab/model/scenario.cpp
+++ b/lab/model/scenario.cpp
@@ -16,7 +16,7 @@
     1e9;  // larger than any figure of a site; keeps products within what a double holds exactly
 constexpr size_t kMostFaults = 64, kMostText = 1 << 20, kMostEntries = 64;
 
-using Faults = std::vector<ScenarioFault>;
+using Faults = std::vector<ScenarioError>;
 
 void Add(Faults* faults, int line, std::string key, std::string why) {
   if (faults->size() < kMostFaults) faults->push_back({line, std::move(key), std::move(why)});
@@ -36,7 +36,7 @@
 
 // The range that `node` says, within what `figure` allows.
 template <typename Owner>
-void TakeFigure(const Figure<Owner>& figure, const toml::node& node, const std::string& key, Owner* owner,
+void TakeFigure(const Parameter<Owner>& figure, const toml::node& node, const std::string& key, Owner* owner,
                 Faults* faults) {
   Range range;
   auto number = [](const toml::node& n) { return n.value<double>(); };
@@ -57,19 +57,19 @@
   if (range.lo > range.hi)
     return Add(faults, LineOf(node), key,
                "is a range upside down: " + Plain(range.lo) + " is above " + Plain(range.hi));
-  if (range.lo < figure.least || range.hi > figure.most) {
+  if (range.lo < figure.min || range.hi > figure.max) {
     return Add(faults, LineOf(node), key,
-               "has to lie from " + Plain(figure.least) + " to " + Plain(figure.most));
+               "has to lie from " + Plain(figure.min) + " to " + Plain(figure.max));
   }
-  if (figure.whole && (range.lo != std::floor(range.lo) || range.hi != std::floor(range.hi))) {
+  if (figure.integer_only && (range.lo != std::floor(range.lo) || range.hi != std::floor(range.hi))) {
     return Add(faults, LineOf(node), key, "has to be a whole number");
   }
-  owner->*figure.at = range;
+  owner->*figure.member = range;
 }
 
 template <typename Owner>
-const Figure<Owner>* Find(const std::vector<Figure<Owner>>& figures, std::string_view key) {
-  for (const Figure<Owner>& figure : figures) {
+const Parameter<Owner>* Find(const std::vector<Parameter<Owner>>& figures, std::string_view key) {
+  for (const Parameter<Owner>& figure : figures) {
     if (key == figure.key) return &figure;
   }
   return nullptr;
@@ -77,22 +77,22 @@
 
 // A key that is one more letter off than it should be is most often a wrong unit: say which there is.
 template <typename Owner>
-std::string Unknown(const std::vector<Figure<Owner>>& figures, std::string_view key) {
+std::string Unknown(const std::vector<Parameter<Owner>>& figures, std::string_view key) {
   auto stem = [](std::string_view k) { return k.substr(0, std::min(k.rfind('_'), k.size())); };
-  for (const Figure<Owner>& figure : figures) {
+  for (const Parameter<Owner>& figure : figures) {
     if (stem(figure.key) == stem(key)) return std::string("is not known; did you mean ") + figure.key + "?";
   }
   return "is not known";
 }
 
 template <typename Owner>
-void TakeTable(const std::vector<Figure<Owner>>& figures, const toml::table& table, const std::string& at,
+void TakeTable(const std::vector<Parameter<Owner>>& figures, const toml::table& table, const std::string& at,
                const std::set<std::string_view>& texts, Owner* owner, Faults* faults) {
   for (const auto& [name, node] : table) {
     std::string_view key = name.str();
     if (texts.count(key) != 0) continue;
     std::string full = at.empty() ? std::string(key) : at + "." + std::string(key);
-    if (const Figure<Owner>* figure = Find(figures, key)) {
+    if (const Parameter<Owner>* figure = Find(figures, key)) {
       TakeFigure(*figure, node, full, owner, faults);
     } else {
       Add(faults, LineOf(node), full, Unknown(figures, key));
@@ -188,9 +188,9 @@
 
 }  // namespace
 
-const std::vector<Figure<Scenario>>& ScenarioFigures() {
+const std::vector<Parameter<Scenario>>& ScenarioParameters() {
   using S = Scenario;
-  static const std::vector<Figure<Scenario>> figures = {
+  static const std::vector<Parameter<Scenario>> figures = {
       {"day.length_s", &S::length_s, 1, 7200, false, "clients arrive for so long"},
       {"day.settle_s", &S::settle_s, 0, 600, false, "and the day goes on for so long after"},
       {"fleet.gateways", &S::gateways, 1, 10000, true, "gateways of the tier"},
@@ -231,9 +231,9 @@
       {"network.cross_zone_ms", &S::cross_zone_ms, 0, 1000, false, "one way between zones"},
       {"network.client_ms", &S::client_ms, 0, 1000, false, "one way between a client and a gateway"},
       {"network.jitter", &S::jitter, 0, 3, false, "variation of a way, as a share of it"},
-      {"load.use", &S::use, 0, 10, false,
+      {"load.use", &S::load_use, 0, 10, false,
        "work asked for inside quotas, as a share of what the fleet can do"},
-      {"load.most_excess", &S::most_excess, 0, 100, false,
+      {"load.most_excess", &S::max_excess, 0, 100, false,
        "asked for beyond quotas over asked for inside, at most"},
       {"customers.calm_use", &S::calm_use, 0, 1, false, "of its rate, that an ordinary customer uses"},
       {"customers.full_share", &S::full_share, 0, 1, false, "of the customers, that use nearly all"},
@@ -249,30 +249,32 @@
       {"requests.units_top", &S::units_top, 1, 1000, true, "units of the largest request"},
       {"requests.guess_cv", &S::guess_cv, 0, 3, false, "variation of the guess round the true units"},
       {"clients.retries", &S::retries, 0, 20, true, "tries after the first"},
-      {"clients.try_share", &S::try_share, 0.01, 1, false,
+      {"clients.try_share", &S::try_timeout_share, 0.01, 1, false,
        "of a class's deadline, after which a try is given up"},
       {"clients.backoff_ms", &S::backoff_ms, 0, 60000, false, "wait before a retry"},
       {"clients.backoff_grows", &S::backoff_grows, 0, 1, false,
        "1: the wait doubles with each retry; between: chance"},
-      {"clients.heeds_share", &S::heeds_share, 0, 1, false, "of the clients, that heed Retry-After"},
-      {"clients.most_retry_after_ms", &S::most_retry_after_ms, 0, 600000, false,
-       "the longest that they heed"},
+      {"clients.heeds_share", &S::heeds_retry_after_share, 0, 1, false,
+       "of the clients, that heed Retry-After"},
+      {"clients.most_retry_after_ms", &S::max_retry_after_ms, 0, 600000, false, "the longest that they heed"},
       {"clients.impatient_share", &S::impatient_share, 0, 1, false,
        "of the tries, whose client leaves early"},
       {"clients.use_until_end_share", &S::use_until_end_share, 0, 1, false,
        "of the tries, that go to a gateway that was told to end while a connection to it stays open; one "
        "number, not drawn"},
       {"front.notice_s", &S::front_notice_s, 0, 60, false, "until the front sees that a gateway is down"},
-      {"discovery.notice_s", &S::list_notice_s, 0, 60, false,
+      {"discovery.notice_s", &S::discovery_notice_s, 0, 60, false,
        "until a gateway is told that a backend drains or is gone"},
-      {"discovery.start_notice_s", &S::start_notice_s, 0, 60, false, "and that one has started"},
-      {"discovery.agent_ms", &S::agent_ms, 0, 10000, false, "until a started gateway has its first list"},
-      {"counter.calls_per_s", &S::calls_per_s, 1, 1e7, false, "calls of all parts together"},
-      {"counter.parts", &S::parts, 1, 64, true, "parts, by the hash of a name"},
-      {"counter.call_ms", &S::call_ms, 0, 1000, false, "a call's time beside the line and the way"},
-      {"counter.line_timeouts", &S::line_timeouts, 0, 100, false, "longest line of a part, in time-outs"},
-      {"counter.timeout_ms", &S::timeout_ms, 1, 60000, false, "a gateway's limit on a call"},
-      {"counter.lost_share", &S::lost_share, 0, 1, false, "of the answers, that never come"},
+      {"discovery.start_notice_s", &S::discovery_start_notice_s, 0, 60, false, "and that one has started"},
+      {"discovery.agent_ms", &S::discovery_agent_ms, 0, 10000, false,
+       "until a started gateway has its first list"},
+      {"counter.calls_per_s", &S::counter_calls_per_s, 1, 1e7, false, "calls of all parts together"},
+      {"counter.parts", &S::counter_parts, 1, 64, true, "parts, by the hash of a name"},
+      {"counter.call_ms", &S::counter_call_ms, 0, 1000, false, "a call's time beside the line and the way"},
+      {"counter.line_timeouts", &S::counter_line_timeouts, 0, 100, false,
+       "longest line of a part, in time-outs"},
+      {"counter.timeout_ms", &S::counter_timeout_ms, 1, 60000, false, "a gateway's limit on a call"},
+      {"counter.lost_share", &S::counter_lost_share, 0, 1, false, "of the answers, that never come"},
       {"peers.loss", &S::peer_loss, 0, 1, false, "of the datagrams between gateways, that are lost all day"},
       {"peers.in_per_s", &S::peer_in_per_s, 1, 1e6, false,
        "datagrams that a gateway takes in a second; what comes faster is dropped, and a breach"},
@@ -283,7 +285,7 @@
       {"rules.answer_grace_ms", &S::answer_grace_ms, 0, 60000, false,
        "from a try's end to the latest final answer"},
       {"rules.try_limit", &S::try_limit, 1, 20, true, "attempts of a request"},
-      {"rules.ceiling_slack", &S::slack_share, 0, 10, false,
+      {"rules.ceiling_slack", &S::ceiling_slack_share, 0, 10, false,
        "of the ceiling's burst; the largest request at least"},
       {"prices.counter", &S::counter_price, 0, 1, false, "times calls over first tries"},
       {"prices.waste", &S::waste_price, 0, 1, false, "times work that served nobody over work asked for"},
@@ -292,9 +294,9 @@
        "times attempts between zones over first tries"},
       {"prices.handshake", &S::handshake_price, 0, 1, false,
        "times new connections to backends over first tries"},
-      {"prices.rude", &S::rude_price, 0, 1, false,
+      {"prices.rude", &S::misbehaving_peer_price, 0, 1, false,
        "times the share of rude peers left with neither an error nor a close"},
-      {"prices.hidden", &S::hidden_price, 0, 1, false,
+      {"prices.hidden", &S::held_request_price, 0, 1, false,
        "of its worth, for a request held over half of its time and never sent on"},
       {"goal.whole", &S::goal_whole, 0, 1, false, "weight of the whole day"},
       {"goal.window", &S::goal_window, 0, 1, false, "weight of the worst 10 s"},
@@ -303,9 +305,9 @@
   return figures;
 }
 
-const std::vector<Figure<ClassFigures>>& ClassKeys() {
-  using C = ClassFigures;
-  static const std::vector<Figure<C>> figures = {
+const std::vector<Parameter<ClassConfig>>& ClassParameters() {
+  using C = ClassConfig;
+  static const std::vector<Parameter<C>> figures = {
       {"share", &C::share, 0, 1000, false, "of the requests, against the other classes"},
       {"work_ms", &C::work_ms, 0.01, 60000, false, "mean work on one core of speed 1"},
       {"work_cv", &C::work_cv, 0, 3, false, "variation of the work"},
@@ -316,9 +318,9 @@
   return figures;
 }
 
-const std::vector<Figure<PlanFigures>>& PlanKeys() {
-  using P = PlanFigures;
-  static const std::vector<Figure<P>> figures = {
+const std::vector<Parameter<PlanConfig>>& PlanParameters() {
+  using P = PlanConfig;
+  static const std::vector<Parameter<P>> figures = {
       {"share", &P::share, 0, 1000, false, "of the use inside quotas, against the other plans"},
       {"units_per_s", &P::units_per_s, 0.01, kAny, false, "a customer's rate"},
       {"burst_s", &P::burst_s, 0, 3600, false,
@@ -333,9 +335,9 @@
   return figures;
 }
 
-const std::vector<Figure<EventFigures>>& EventKeys() {
-  using E = EventFigures;
-  static const std::vector<Figure<E>> figures = {
+const std::vector<Parameter<EventConfig>>& EventParameters() {
+  using E = EventConfig;
+  static const std::vector<Parameter<E>> figures = {
       {"at_s", &E::at_s, 0, 7200, false, "when it begins"},
       {"for_s", &E::for_s, 0, 7200, false, "how long it lasts"},
       {"part", &E::part, 0, 1, false, "share of what it befalls"},
@@ -400,7 +402,7 @@
   return kinds;
 }
 
-bool IsLoad(std::string_view kind) {
+bool IsLoadEvent(std::string_view kind) {
   return kind == "burst" || kind == "shift" || kind == "hot" || kind == "retune" || kind == "scrape" ||
          kind == "rude";
 }
@@ -408,7 +410,7 @@
 namespace {
 
 // What an event says in words, and by number.
-void CheckEvent(const Scenario& s, const EventFigures& e, const std::string& at, Faults* faults) {
+void CheckEvent(const Scenario& s, const EventConfig& e, const std::string& at, Faults* faults) {
   auto among = [&](const char* key, const std::string& value, std::initializer_list<const char*> allowed) {
     std::string all;
     for (const char* one : allowed) {
@@ -446,7 +448,7 @@
 
 }  // namespace
 
-void CheckWhole(const Scenario& s, Faults* faults) {
+void CheckConsistency(const Scenario& s, Faults* faults) {
   if (s.classes.empty()) Add(faults, 0, "class", "there is none: add a [[class]]");
   if (s.plans.empty()) Add(faults, 0, "plan", "there is none: add a [[plan]]");
   auto sum = [](const auto& items) {
@@ -466,7 +468,7 @@
   if (s.full_share.hi + s.heavy_share.hi + s.spiky_share.hi > 1)
     Add(faults, 0, "customers", "full_share, heavy_share and spiky_share may add up to more than 1");
   for (size_t i = 0; i < s.events.size(); ++i) {
-    const EventFigures& e = s.events[i];
+    const EventConfig& e = s.events[i];
     std::string at = "event[" + std::to_string(i) + "]";
     if (e.at_s.hi > s.length_s.lo)
       Add(faults, e.line, at + ".at_s", "may lie past the day's end, " + Plain(s.length_s.lo) + " s");
@@ -480,9 +482,9 @@
   }
 }
 
-ReadScenario ParseScenario(std::string_view text) {
-  ReadScenario read;
-  Faults* faults = &read.faults;
+ScenarioParseResult ParseScenario(std::string_view text) {
+  ScenarioParseResult read;
+  Faults* faults = &read.errors;
   if (text.size() > kMostText) {
     Add(faults, 0, "", "is longer than 1 MiB");
     return read;
@@ -502,7 +504,7 @@
   if (!s->extensions.empty() && !nlohmann::json::parse(s->extensions, nullptr, false).is_object())
     Add(faults, LineOf(*root.get("extensions")), "extensions", "is not the text of a JSON object");
   std::set<std::string, std::less<>> sections;
-  for (const Figure<Scenario>& figure : ScenarioFigures())
+  for (const Parameter<Scenario>& figure : ScenarioParameters())
     sections.insert(std::string(figure.key).substr(0, std::string_view(figure.key).find('.')));
   for (const auto& [name, node] : root) {
     std::string_view key = name.str();
@@ -515,10 +517,10 @@
     } else if (sections.count(key) != 0 && table != nullptr) {
       for (const auto& [inner, value] : *table) {
         std::string full = std::string(key) + "." + std::string(inner.str());
-        if (const auto* figure = Find(ScenarioFigures(), full))
+        if (const auto* figure = Find(ScenarioParameters(), full))
           TakeFigure(*figure, value, full, s, faults);
         else
-          Add(faults, LineOf(value), full, Unknown(ScenarioFigures(), full));
+          Add(faults, LineOf(value), full, Unknown(ScenarioParameters(), full));
       }
     } else {
       Add(faults, LineOf(node), std::string(key),
@@ -526,23 +528,23 @@
     }
   }
   ForEach(root, "class", faults, [&](const toml::table& table, const std::string& at) {
-    ClassFigures c;
+    ClassConfig c;
     c.name = Text(table, "name", at, true, faults);
     if (!c.name.empty()) CheckName(c.name, LineOf(table), at + ".name", faults);
     if (table.contains("effect")) c.effect = Text(table, "effect", at, true, faults);
     if (c.effect != "free") Add(faults, LineOf(table), at + ".effect", "only \"free\" is modelled so far");
-    TakeTable(ClassKeys(), table, at, {"name", "effect"}, &c, faults);
+    TakeTable(ClassParameters(), table, at, {"name", "effect"}, &c, faults);
     s->classes.push_back(c);
   });
   ForEach(root, "plan", faults, [&](const toml::table& table, const std::string& at) {
-    PlanFigures p;
+    PlanConfig p;
     p.name = Text(table, "name", at, true, faults);
     if (!p.name.empty()) CheckName(p.name, LineOf(table), at + ".name", faults);
-    TakeTable(PlanKeys(), table, at, {"name"}, &p, faults);
+    TakeTable(PlanParameters(), table, at, {"name"}, &p, faults);
     s->plans.push_back(p);
   });
   ForEach(root, "event", faults, [&](const toml::table& table, const std::string& at) {
-    EventFigures e;
+    EventConfig e;
     e.line = LineOf(table);
     e.kind = Text(table, "kind", at, true, faults);
     for (auto [key, value] :
@@ -551,27 +553,27 @@
     }
     e.targets = Numbers(table, "targets", at, faults);
     e.others = Numbers(table, "others", at, faults);
-    TakeTable(EventKeys(), table, at, {"kind", "to", "way", "what", "order", "targets", "others"}, &e,
+    TakeTable(EventParameters(), table, at, {"kind", "to", "way", "what", "order", "targets", "others"}, &e,
               faults);
     s->events.push_back(e);
   });
-  CheckWhole(*s, faults);
+  CheckConsistency(*s, faults);
   return read;
 }
 
-std::optional<ScenarioFault> SetFigure(Scenario* scenario, std::string_view assignment) {
+std::optional<ScenarioError> SetParameter(Scenario* scenario, std::string_view assignment) {
   size_t equals = assignment.find('=');
   std::string key(assignment.substr(0, equals));
-  const auto* figure = Find(ScenarioFigures(), key);
+  const auto* figure = Find(ScenarioParameters(), key);
   if (equals == std::string_view::npos)
-    return ScenarioFault{0, key, "has no '=': write KEY=NUMBER or KEY=[FROM,TO]"};
-  if (figure == nullptr) return ScenarioFault{0, key, Unknown(ScenarioFigures(), key)};
+    return ScenarioError{0, key, "has no '=': write KEY=NUMBER or KEY=[FROM,TO]"};
+  if (figure == nullptr) return ScenarioError{0, key, Unknown(ScenarioParameters(), key)};
   Faults faults;
   try {
     toml::table table = toml::parse("v = " + std::string(assignment.substr(equals + 1)));
     TakeFigure(*figure, *table.get("v"), key, scenario, &faults);
   } catch (const toml::parse_error&) {
-    return ScenarioFault{0, key, "is neither a number nor a range, [from, to]"};
+    return ScenarioError{0, key, "is neither a number nor a range, [from, to]"};
   }
   if (!faults.empty()) return faults.front();
   return std::nullopt;
@@ -587,11 +589,11 @@
 }
 
 template <typename Owner>
-void PutFigures(const std::vector<Figure<Owner>>& figures, const Owner& owner, toml::table* table) {
+void PutFigures(const std::vector<Parameter<Owner>>& figures, const Owner& owner, toml::table* table) {
   static const Owner usual{};
-  for (const Figure<Owner>& figure : figures) {
-    Range range = owner.*figure.at;
-    if (!(range == usual.*figure.at)) Put(figure.key, range, table);
+  for (const Parameter<Owner>& figure : figures) {
+    Range range = owner.*figure.member;
+    if (!(range == usual.*figure.member)) Put(figure.key, range, table);
   }
 }
 
@@ -603,28 +605,28 @@
   if (!s.about.empty()) root.insert("about", s.about);
   if (!s.extensions.empty()) root.insert("extensions", s.extensions);
   static const Scenario usual{};
-  for (const Figure<Scenario>& figure : ScenarioFigures()) {
-    Range range = s.*figure.at;
-    if (range == usual.*figure.at) continue;
+  for (const Parameter<Scenario>& figure : ScenarioParameters()) {
+    Range range = s.*figure.member;
+    if (range == usual.*figure.member) continue;
     std::string_view key = figure.key, section = key.substr(0, key.find('.'));
     if (!root.contains(section)) root.insert(section, toml::table{});
     Put(key.substr(key.find('.') + 1), range, root[section].as_table());
   }
   toml::array classes, plans, events;
-  for (const ClassFigures& c : s.classes) {
+  for (const ClassConfig& c : s.classes) {
     toml::table one{{"name", c.name}};
-    PutFigures(ClassKeys(), c, &one);
+    PutFigures(ClassParameters(), c, &one);
     classes.push_back(std::move(one));
   }
-  for (const PlanFigures& p : s.plans) {
+  for (const PlanConfig& p : s.plans) {
     toml::table one{{"name", p.name}};
-    PutFigures(PlanKeys(), p, &one);
+    PutFigures(PlanParameters(), p, &one);
     plans.push_back(std::move(one));
   }
-  static const EventFigures no_event{};
-  for (const EventFigures& e : s.events) {
+  static const EventConfig no_event{};
+  for (const EventConfig& e : s.events) {
     toml::table one{{"kind", e.kind}};
-    PutFigures(EventKeys(), e, &one);
+    PutFigures(EventParameters(), e, &one);
     auto text = [&](const char* key, const std::string& value, const std::string& absent) {
       if (value != absent) one.insert(key, value);
     };
--- a/lab/model/scenario.h
+++ b/lab/model/scenario.h
@@ -17,30 +17,30 @@
 
 // A key of `Owner`; the unit is the end of its name (_s, _ms, _share ...).
 template <typename Owner>
-struct Figure {
+struct Parameter {
   const char* key;
-  Range Owner::*at;
-  double least, most;
-  bool whole;  // takes whole numbers only
-  const char* about;
+  Range Owner::*member;
+  double min, max;
+  bool integer_only;  // takes whole numbers only
+  const char* description;
 };
 
 // A class of request. Milliseconds.
-struct ClassFigures {
+struct ClassConfig {
   std::string name, effect = "free";
   Range share{1, 1}, work_ms{100, 170}, work_cv{0.7, 1.4}, aim_ms{1200, 1200}, deadline_ms{3000, 3000},
       worth{1, 1};
 };
 
 // A plan; quotas hold for each customer over all gateways.
-struct PlanFigures {
+struct PlanConfig {
   std::string name;
   Range share{1, 1}, units_per_s{4, 8}, burst_s{2, 5}, price{1, 1}, over_cost{0.6, 0.6}, over_worth{0, 0};
   Range open_times{0, 0}, ceiling_times{0, 0};
 };
 
 // One entry of the timeline. What a field means for a kind is in EventKinds().
-struct EventFigures {
+struct EventConfig {
   std::string kind;
   Range at_s{0, 0}, for_s{0, 0}, part{1, 1}, size{1, 1}, down_s{0.3, 1.4};
   // By number, in place of a part that the day draws; of a path: the gateways at its near ends.
@@ -68,33 +68,35 @@
   Range connections_per_core{430, 830}, handshake_work_ms{0.56, 1.5}, handshake_trips{1, 3}, idle_s{30, 30};
   Range connect_timeout_ms{250, 250}, error_share{0, 0.001}, cancel_running{0, 1}, drops_overdue{0, 1};
   Range same_zone_ms{0.086, 0.25}, cross_zone_ms{0.7, 1.3}, client_ms{0.47, 1.2}, jitter{0.085, 0.32};
-  Range use{0.48, 0.63};
+  Range load_use{0.48, 0.63};
   Range calm_use{0.19, 0.5}, full_share{0.087, 0.23}, heavy_share{0.071, 0.12}, heavy_times{1.9, 4.9};
   Range spiky_share{0.11, 0.24}, spike_times{2.1, 7.9}, spike_s{1.1, 4.1}, spike_every_s{10, 23};
-  Range most_excess{0.9, 0.9}, set_size{2, 4}, skew{0.91, 1.5}, shift_s{3.2, 8.9};
+  Range max_excess{0.9, 0.9}, set_size{2, 4}, skew{0.91, 1.5}, shift_s{3.2, 8.9};
   Range units_top{6, 6}, guess_cv{0.38, 0.64};
-  Range retries{2, 3}, try_share{0.5, 1}, backoff_ms{60, 480}, backoff_grows{0, 1}, heeds_share{0.39, 0.88};
-  Range most_retry_after_ms{2000, 2000}, impatient_share{0, 0};
+  Range retries{2, 3}, try_timeout_share{0.5, 1}, backoff_ms{60, 480}, backoff_grows{0, 1},
+      heeds_retry_after_share{0.39, 0.88};
+  Range max_retry_after_ms{2000, 2000}, impatient_share{0, 0};
   Range use_until_end_share{0, 0};
   Range front_notice_s{0.8, 4};
-  Range list_notice_s{1, 5}, start_notice_s{0.22, 2.5}, agent_ms{20, 200};
-  Range calls_per_s{490, 660}, parts{2, 3}, call_ms{0.32, 1.5}, line_timeouts{0.4, 3}, timeout_ms{30, 30};
-  Range lost_share{0, 0}, counter_price{0.02, 0.02};
+  Range discovery_notice_s{1, 5}, discovery_start_notice_s{0.22, 2.5}, discovery_agent_ms{20, 200};
+  Range counter_calls_per_s{490, 660}, counter_parts{2, 3}, counter_call_ms{0.32, 1.5},
+      counter_line_timeouts{0.4, 3}, counter_timeout_ms{30, 30};
+  Range counter_lost_share{0, 0}, counter_price{0.02, 0.02};
   Range peer_loss{0, 0}, peer_in_per_s{60, 60}, converge_s{10, 10};
-  Range drain_grace_ms{1000, 1000}, answer_grace_ms{50, 50}, try_limit{3, 3}, slack_share{0.1, 0.1};
+  Range drain_grace_ms{1000, 1000}, answer_grace_ms{50, 50}, try_limit{3, 3}, ceiling_slack_share{0.1, 0.1};
   Range waste_price{0.08, 0.08}, late_price{0.03, 0.03}, cross_zone_price{0.005, 0.005},
-      handshake_price{0, 0}, rude_price{0.3, 0.3}, hidden_price{0.3, 0.3};
+      handshake_price{0, 0}, misbehaving_peer_price{0.3, 0.3}, held_request_price{0.3, 0.3};
   Range goal_whole{0.6, 0.6}, goal_window{0.1, 0.1}, goal_plan{0.3, 0.3};
-  std::vector<ClassFigures> classes;
-  std::vector<PlanFigures> plans;
-  std::vector<EventFigures> events;
+  std::vector<ClassConfig> classes;
+  std::vector<PlanConfig> plans;
+  std::vector<EventConfig> events;
   Expectations expect;
 };
 
-const std::vector<Figure<Scenario>>& ScenarioFigures();
-const std::vector<Figure<ClassFigures>>& ClassKeys();
-const std::vector<Figure<PlanFigures>>& PlanKeys();
-const std::vector<Figure<EventFigures>>& EventKeys();
+const std::vector<Parameter<Scenario>>& ScenarioParameters();
+const std::vector<Parameter<ClassConfig>>& ClassParameters();
+const std::vector<Parameter<PlanConfig>>& PlanParameters();
+const std::vector<Parameter<EventConfig>>& EventParameters();
 
 // A kind of event and what its fields mean.
 struct EventKind {
@@ -103,27 +105,27 @@
 };
 const std::vector<EventKind>& EventKinds();
 // Kinds that are load and no trouble: a day without its troubles keeps them.
-bool IsLoad(std::string_view kind);
+bool IsLoadEvent(std::string_view kind);
 
 // Something wrong with a scenario: the line (0: none), the key and a plain reason.
-struct ScenarioFault {
+struct ScenarioError {
   int line = 0;
-  std::string key, why;
-  bool operator==(const ScenarioFault&) const = default;
+  std::string key, message;
+  bool operator==(const ScenarioError&) const = default;
 };
 
 // Reads and checks a scenario's text; all faults are named in one go. With faults the scenario is of no use.
-struct ReadScenario {
+struct ScenarioParseResult {
   Scenario scenario;
-  std::vector<ScenarioFault> faults;
+  std::vector<ScenarioError> errors;
 };
-ReadScenario ParseScenario(std::string_view text);
+ScenarioParseResult ParseScenario(std::string_view text);
 // One figure anew, from "key=2" or "key=[1,2]"; an empty result is a yes.
-std::optional<ScenarioFault> SetFigure(Scenario* scenario, std::string_view assignment);
+std::optional<ScenarioError> SetParameter(Scenario* scenario, std::string_view assignment);
 // The scenario as a file that reads back as the same scenario.
 std::string WriteScenario(const Scenario& scenario);
 // What no single key shows: shares that don't add up, events past the end, more zones than gateways.
-void CheckWhole(const Scenario& scenario, std::vector<ScenarioFault>* faults);
+void CheckConsistency(const Scenario& scenario, std::vector<ScenarioError>* faults);
 
 }  // namespace lemonchute::lab
 
--- a/lab/model/settings.cpp
+++ b/lab/model/settings.cpp
@@ -8,10 +8,10 @@
 std::string ZoneName(int zone) { return "zone-" + std::string(1, static_cast<char>('a' + zone)); }
 std::string GatewayName(int gateway) { return std::string("n").append(std::to_string(gateway)); }
 
-json SettingsOf(const Day& day, int gateway, double scale) {
+json SettingsOf(const RunSpec& day, int gateway, double scale) {
   json zones = json::array(), classes = json::array(), plans = json::array();
   for (int z = 0; z < day.zones; ++z) zones.push_back(ZoneName(z));
-  for (const DayClass& c : day.classes) {
+  for (const ClassSpec& c : day.classes) {
     classes.push_back({{"name", c.name},
                        {"effect", "free"},
                        {"aim-s", c.aim_s},
@@ -22,7 +22,7 @@
                        {"dedup-scope", "all"},
                        {"streamed", false}});
   }
-  for (const DayPlan& p : day.plans) {
+  for (const PlanSpec& p : day.plans) {
     plans.push_back({{"name", p.name},
                      {"units-per-s", p.rate * scale},
                      {"store-size", p.burst * scale},
@@ -32,7 +32,7 @@
                      {"excess-worth", p.over_worth},
                      {"over-cost", p.over_cost},
                      {"value-factor", p.price},
-                     {"parallel", p.open}});
+                     {"parallel", p.attempt_cap}});
   }
   return {{"me", gateway},
           {"peers-total", day.gateways},
@@ -44,7 +44,7 @@
           {"specifics",
            {{"units-top", day.units_top},
             {"may-count", true},
-            {"counter-timeout-s", day.count_timeout_s},
+            {"counter-timeout-s", day.counter_timeout_s},
             {"counter-price", day.counter_price},
             {"trued-up", true},
             {"peer-in-per-s", day.peer_in_per_s},
@@ -58,7 +58,7 @@
            {{"cancel", true},
             {"parallel-tries", true},
             {"retry-after", true},
-            {"max-retry-after-s", day.most_retry_after_s},
+            {"max-retry-after-s", day.max_retry_after_s},
             {"try-limit", day.try_limit},
             {"conn-idle-s", day.idle_s},
             {"connect-timeout-s", day.connect_timeout_s},
@@ -75,11 +75,12 @@
           {"tiers-of-service", plans}};
 }
 
-json EntryOf(const Day& day, const Discovery::Entry& entry, const std::string& address, int64_t epoch_ms) {
-  const DayBackend& b = day.backends[static_cast<size_t>(entry.backend)];
-  const char* status = entry.state == Listed::kActive    ? "active"
-                       : entry.state == Listed::kLeaving ? "leaving"
-                                                         : "left";
+json DiscoveryEntryOf(const RunSpec& day, const Discovery::Entry& entry, const std::string& address,
+                      int64_t epoch_ms) {
+  const BackendSpec& b = day.backends[static_cast<size_t>(entry.backend)];
+  const char* status = entry.state == ListState::kActive    ? "active"
+                       : entry.state == ListState::kLeaving ? "leaving"
+                                                            : "left";
   return {{"name", b.name},
           {"address", address},
           {"zone", ZoneName(b.zone)},
@@ -90,7 +91,7 @@
           {"since_ms", entry.since == 0 ? 0 : epoch_ms + entry.since / 1000}};
 }
 
-json ConfigurationOf(const Day& day, int gateway, const Addresses& addresses, const json& known,
+json ConfigurationOf(const RunSpec& day, int gateway, const GatewayAddresses& addresses, const json& known,
                      uint64_t seed, double scale) {
   char seed_text[17];
   std::snprintf(seed_text, sizeof(seed_text), "%016llx", static_cast<unsigned long long>(seed));
--- a/lab/model/settings.h
+++ b/lab/model/settings.h
@@ -11,19 +11,19 @@
 namespace lemonchute::lab {
 
 // Where a gateway finds the others. Addresses are "127.0.0.1:5000".
-struct Addresses {
+struct GatewayAddresses {
   std::string listen, discovery, counter;
   std::string peer_listen, peers_all;
   std::vector<std::string> peers;  // by number
 };
 
 // The `settings` object; quotas times `scale`.
-nlohmann::json SettingsOf(const Day& day, int gateway, double scale = 1);
+nlohmann::json SettingsOf(const RunSpec& day, int gateway, double scale = 1);
 // One line of a list in discovery's form. `epoch_ms`: Unix time of the day's start.
-nlohmann::json EntryOf(const Day& day, const Discovery::Entry& entry, const std::string& address,
-                       int64_t epoch_ms);
+nlohmann::json DiscoveryEntryOf(const RunSpec& day, const Discovery::Entry& entry, const std::string& address,
+                                int64_t epoch_ms);
 // The whole configuration file.
-nlohmann::json ConfigurationOf(const Day& day, int gateway, const Addresses& addresses,
+nlohmann::json ConfigurationOf(const RunSpec& day, int gateway, const GatewayAddresses& addresses,
                                const nlohmann::json& known, uint64_t seed, double scale = 1);
 std::string ZoneName(int zone);
 std::string GatewayName(int gateway);
--- a/lab/play/real/clients.cpp
+++ b/lab/play/real/clients.cpp
@@ -26,7 +26,7 @@
 
 size_t Clients::Connections(int gateway) const {
   size_t held = idle_[static_cast<size_t>(gateway)].size();
-  for (const auto& [id, open] : open_) held += world_.judge.At(id).gateway == gateway ? 1 : 0;
+  for (const auto& [id, open] : open_) held += world_.judge.GetTry(id).gateway == gateway ? 1 : 0;
   return held;
 }
 
@@ -41,39 +41,41 @@
 
 // After SIGTERM clients send on every connection that stays open (STANDING).
 int Clients::Pick(uint32_t arrival, int number, Micros at) const {
-  if (world_.client_router.UsesUntilEnd(arrival, number)) {
+  if (world_.client_router.KeepsConnectionUntilEnd(arrival, number)) {
     const Customer& customer = world_.day.customers[world_.day.arrivals[arrival].customer];
-    for (int i = 0; i < customer.spread; ++i) {
-      int gateway = (customer.first + i) % world_.day.gateways;
+    for (int i = 0; i < customer.gateway_count; ++i) {
+      int gateway = (customer.first_gateway + i) % world_.day.gateways;
       auto index = static_cast<size_t>(gateway);
       if (world_.told_to_end_at[index] != kNever && !idle_[index].empty()) return gateway;
     }
   }
-  return world_.client_router.Pick(arrival, number, at);
+  return world_.client_router.PickGateway(arrival, number, at);
 }
 
 void Clients::Send(uint32_t arrival, int number, Micros at) {
   int gateway = Pick(arrival, number, at);
   const Customer& customer = world_.day.customers[world_.day.arrivals[arrival].customer];
-  Micros patience = world_.client_router.Patience(arrival, at);
-  uint32_t id = world_.judge.Sent(at, arrival, number, gateway < 0 ? customer.first : gateway, patience);
+  Micros patience = world_.client_router.TryTimeout(arrival, at);
+  uint32_t id =
+      world_.judge.OnTrySent(at, arrival, number, gateway < 0 ? customer.first_gateway : gateway, patience);
   if (gateway < 0) {
-    world_.judge.Unheard(at, id);
+    world_.judge.OnTryUndelivered(at, id);
     return Again(id, 0);
   }
-  Micros write_due = at + world_.network.ClientWay();
+  Micros write_due = at + world_.network.ClientDelay();
   world_.schedule.At(write_due, [this, id, write_due] { Ask(id, false, write_due); });
   world_.schedule.At(at + patience, [this, id] {
-    if (world_.judge.At(id).told) return;
-    world_.judge.Left(world_.Now(), id);
+    if (world_.judge.GetTry(id).closed) return;
+    world_.judge.OnClientLeft(world_.Now(), id);
     Again(id, 0);
   });
-  world_.schedule.At(at + patience + FromS(world_.day.answer_grace_s), [this, id] { CheckAnswered(id); });
+  world_.schedule.At(at + patience + FromSeconds(world_.day.answer_grace_s),
+                     [this, id] { CheckAnswered(id); });
   if (auto leaves = world_.client_router.LeavesAfter(arrival, number, patience)) {
     world_.schedule.At(at + *leaves, [this, id] {
       auto open = open_.find(id);
-      if (open == open_.end() || world_.judge.At(id).told) return;
-      world_.judge.Left(world_.Now(), id);
+      if (open == open_.end() || world_.judge.GetTry(id).closed) return;
+      world_.judge.OnClientLeft(world_.Now(), id);
       std::shared_ptr<HttpConnection> connection = open->second.connection;
       open_.erase(open);
       connection->Close();
@@ -82,26 +84,26 @@
 }
 
 std::string Clients::Text(uint32_t id) const {
-  const Try& t = world_.judge.At(id);
+  const Try& t = world_.judge.GetTry(id);
   const Arrival& a = world_.day.arrivals[t.arrival];
   const Customer& c = world_.day.customers[a.customer];
   char cookie[17];
   std::snprintf(cookie, sizeof(cookie), "%016llx", static_cast<unsigned long long>(c.key));
-  return "GET /" + world_.day.classes[static_cast<size_t>(a.cls)].name +
+  return "GET /" + world_.day.classes[static_cast<size_t>(a.class_index)].name +
          " HTTP/1.1\r\nHost: app.svc\r\nRequest-Id: " + RequestId(world_.day, id) +
          "\r\nX-Tier: " + world_.day.plans[static_cast<size_t>(c.plan)].name +
-         "\r\nCookie: client=" + cookie + "\r\nRequest-Timeout-Ms: " + std::to_string(t.patience / 1000) +
-         "\r\nX-Call-Terms: units=" + std::to_string(static_cast<int>(a.guess)) +
-         ",spread=" + std::to_string(c.spread) + ",first=" + std::to_string(c.first) + "\r\n" +
+         "\r\nCookie: client=" + cookie + "\r\nRequest-Timeout-Ms: " + std::to_string(t.timeout / 1000) +
+         "\r\nX-Call-Terms: units=" + std::to_string(static_cast<int>(a.estimated_units)) +
+         ",spread=" + std::to_string(c.gateway_count) + ",first=" + std::to_string(c.first_gateway) + "\r\n" +
          (t.number > 0 ? "Client-Retry: 1\r\n" : "") + "\r\n";
 }
 
 std::optional<Micros> Clients::LastAnswerAt(uint32_t id, const Open& open) const {
-  const Try& t = world_.judge.At(id);
+  const Try& t = world_.judge.GetTry(id);
   const HttpConnection::Exchange& exchange = open.connection->exchange();
   if (exchange.written_at == kNoMoment) return std::nullopt;
   Micros written_late = std::max<Micros>(0, world_.schedule.MomentOf(exchange.written_at) - open.write_due);
-  return t.sent + written_late + t.patience + FromS(world_.day.answer_grace_s);
+  return t.sent_at + written_late + t.timeout + FromSeconds(world_.day.answer_grace_s);
 }
 
 void Clients::CheckAnswered(uint32_t id) {
@@ -116,15 +118,15 @@
   if (write_pending || read_pending || (last && world_.Now() < *last)) {
     if (!std::exchange(found->second.delayed_by_lab, true)) {
       ++delayed_by_lab_;
-      world_.log->info("at_s={:.4f} delayed_by_lab {}", ToS(world_.Now()), Steps(id, open, exchange));
+      world_.log->info("at_s={:.4f} delayed_by_lab {}", ToSeconds(world_.Now()), Steps(id, open, exchange));
     }
     Micros soon = world_.Now() + kLagCheckEach;
     return world_.schedule.At(last ? std::max(*last, soon) : soon, [this, id] { CheckAnswered(id); });
   }
   open_.erase(found);
-  const Try& t = world_.judge.At(id);
-  if (answers_(t.gateway, t.sent)) {
-    world_.judge.Lost(
+  const Try& t = world_.judge.GetTry(id);
+  if (answers_(t.gateway, t.sent_at)) {
+    world_.judge.OnTryLost(
         world_.Now(), id,
         "no final answer by the end of its time and the grace (" + Steps(id, open, exchange) + ")");
   }
@@ -132,25 +134,25 @@
 }
 
 bool Clients::CameTooLate(uint32_t id, const Open& open, const HttpConnection::Exchange& exchange) const {
-  const Try& t = world_.judge.At(id);
+  const Try& t = world_.judge.GetTry(id);
   auto last = LastAnswerAt(id, open);
-  return last && exchange.arrived_at != kNoMoment && answers_(t.gateway, t.sent) &&
+  return last && exchange.arrived_at != kNoMoment && answers_(t.gateway, t.sent_at) &&
          world_.schedule.MomentOf(exchange.arrived_at) > *last;
 }
 
 std::string Clients::Steps(uint32_t id, const Open& open, const HttpConnection::Exchange& exchange) const {
-  const Try& t = world_.judge.At(id);
+  const Try& t = world_.judge.GetTry(id);
   std::string text = "request=" + RequestId(world_.day, id) + " gateway=" + std::to_string(t.gateway);
   auto add = [&](const char* step, Micros at) {
     char part[64];
-    std::snprintf(part, sizeof(part), " %s_s=%.4f", step, ToS(at));
+    std::snprintf(part, sizeof(part), " %s_s=%.4f", step, ToSeconds(at));
     text += part;
   };
   auto add_moment = [&](const char* step, HttpConnection::Clock::time_point at) {
     if (at != kNoMoment) add(step, world_.schedule.MomentOf(at));
   };
-  add("sent", t.sent);
-  add("patience", t.patience);
+  add("sent", t.sent_at);
+  add("patience", t.timeout);
   add("write_due", open.write_due);
   add_moment("asked", exchange.asked_at);
   add_moment("written", exchange.written_at);
@@ -160,7 +162,7 @@
 }
 
 void Clients::Ask(uint32_t id, bool fresh, Micros write_due) {
-  const Try& t = world_.judge.At(id);
+  const Try& t = world_.judge.GetTry(id);
   tcp::endpoint to = world_.slice.Gateway(t.gateway);
   auto pool = static_cast<size_t>(t.gateway);
   if (null_run_) {
@@ -176,7 +178,7 @@
   } else {
     connection = std::make_shared<HttpConnection>(world_.io);
   }
-  if (!fresh) world_.judge.Taken(world_.Now(), id);
+  if (!fresh) world_.judge.OnTryReceived(world_.Now(), id);
   open_[id] = {connection, fresh, false, write_due};
   connection->Ask(to, Text(id), [this, id](const HttpConnection::Answer& answer) { Done(id, answer); });
 }
@@ -186,14 +188,14 @@
   if (open == open_.end()) return;
   Open was = open->second;
   open_.erase(open);
-  const Try& t = world_.judge.At(id);
+  const Try& t = world_.judge.GetTry(id);
   if (answer.failed == HttpConnection::Failed::kClosedUnheard && was.connection->used() && !was.again &&
       t.attempts == 0)
     return Ask(id, true, was.write_due);
   if (CameTooLate(id, was, answer.exchange)) {
     const char* what =
         answer.failed == HttpConnection::Failed::kNo ? "its final answer" : "the end of its connection";
-    world_.judge.Lost(
+    world_.judge.OnTryLost(
         world_.Now(), id,
         std::string(what) + " came past its time and the grace (" + Steps(id, was, answer.exchange) + ")");
   }
@@ -202,44 +204,45 @@
   }
   bool stamped = answer.exchange.arrived_at != kNoMoment;
   Micros arrived = stamped ? world_.schedule.MomentOf(answer.exchange.arrived_at) : world_.Now();
-  Micros at = arrived + world_.network.ClientWay();
+  Micros at = arrived + world_.network.ClientDelay();
   world_.schedule.At(at, [this, id, answer, at] { Judge(id, answer, at); });
 }
 
 // `now`: when the client has the answer, however late the lab was to read it.
 void Clients::Judge(uint32_t id, const HttpConnection::Answer& answer, Micros now) {
-  const Try& t = world_.judge.At(id);
-  if (t.told) return;  // its client had gone
+  const Try& t = world_.judge.GetTry(id);
+  if (t.closed) return;  // its client had gone
   switch (answer.failed) {
-    case HttpConnection::Failed::kRefused: world_.judge.Unheard(now, id); return Again(id, 0);
+    case HttpConnection::Failed::kRefused: world_.judge.OnTryUndelivered(now, id); return Again(id, 0);
     case HttpConnection::Failed::kClosedUnheard:
       // A connection's first request may be turned away so as long as nothing of it was sent on.
-      if (t.attempts == 0 || !answers_(t.gateway, t.sent))
-        world_.judge.Unheard(now, id);
+      if (t.attempts == 0 || !answers_(t.gateway, t.sent_at))
+        world_.judge.OnTryUndelivered(now, id);
       else
-        world_.judge.Lost(now, id, "its connection was closed without an answer");
+        world_.judge.OnTryLost(now, id, "its connection was closed without an answer");
       return Again(id, 0);
     case HttpConnection::Failed::kBroken:
-      world_.judge.Answered(now, id, Final::kFailed, false);
+      world_.judge.OnTryAnswered(now, id, TryOutcome::kFailed, false);
       return Again(id, 0);
     case HttpConnection::Failed::kNo: break;
   }
   if (answer.status == 200) {
     if (answer.body != BodyOf(id))
-      world_.judge.Broke("one answer", now, id,
-                         "served with what no backend made for it: " + answer.body.substr(0, 80));
-    if (Micros backend = backends_.TimeOf(id); backend > 0) world_.beside.push_back(now - t.sent - backend);
-    return world_.judge.Answered(now, id, Final::kServed, false);
+      world_.judge.AddViolation("one answer", now, id,
+                                "served with what no backend made for it: " + answer.body.substr(0, 80));
+    if (Micros backend = backends_.TimeOf(id); backend > 0)
+      world_.beside.push_back(now - t.sent_at - backend);
+    return world_.judge.OnTryAnswered(now, id, TryOutcome::kServed, false);
   }
   bool refused = answer.status == 429 || answer.status == 503;
   bool room = refused && t.attempts == 0 && backends_.Room(t.gateway);
-  world_.judge.Answered(now, id, refused ? Final::kRefused : Final::kFailed, room);
+  world_.judge.OnTryAnswered(now, id, refused ? TryOutcome::kRefused : TryOutcome::kFailed, room);
   Again(id, refused ? std::strtod(answer.retry_after.c_str(), nullptr) : 0);
 }
 
 void Clients::Again(uint32_t id, double retry_after_s) {
-  const Try& t = world_.judge.At(id);
-  auto at = world_.client_router.Again(t.arrival, t.number, world_.Now(), retry_after_s);
+  const Try& t = world_.judge.GetTry(id);
+  auto at = world_.client_router.RetryAt(t.arrival, t.number, world_.Now(), retry_after_s);
   if (!at) return;
   world_.schedule.At(
       *at, [this, arrival = t.arrival, number = t.number + 1, when = *at] { Send(arrival, number, when); });
--- a/lab/play/real/discovery_agents.cpp
+++ b/lab/play/real/discovery_agents.cpp
@@ -49,8 +49,8 @@
 nlohmann::json DiscoveryAgents::Entries(int gateway, const std::vector<Discovery::Entry>& entries) const {
   nlohmann::json list = nlohmann::json::array();
   for (const Discovery::Entry& entry : entries) {
-    list.push_back(
-        EntryOf(world_.day, entry, Slice::Text(world_.BackendAt(gateway, entry.backend)), epoch_ms_));
+    list.push_back(DiscoveryEntryOf(world_.day, entry, Slice::Text(world_.BackendAt(gateway, entry.backend)),
+                                    epoch_ms_));
   }
   return list;
 }
@@ -63,7 +63,7 @@
 }
 
 bool DiscoveryAgents::Answers(int gateway) const {
-  return !silent_ && !refuses_ && world_.paths.Passes(gateway, Far::kDiscovery);
+  return !silent_ && !refuses_ && world_.paths.Passes(gateway, RemoteParty::kDiscovery);
 }
 
 void DiscoveryAgents::Ask(int gateway, const HttpServer::PeerPtr& peer, const HttpRequest& request) {
@@ -105,17 +105,17 @@
 
 void DiscoveryAgents::Tell(const Discovery::Entry& entry) {
   std::vector<Micros> told;
-  world_.discovery.Tell(world_.Now(), entry, &told);
+  world_.discovery.Publish(world_.Now(), entry, &told);
   for (size_t g = 0; g < told.size(); ++g) {
     if (told[g] != kNever) world_.schedule.At(told[g], [this, g] { Flush(static_cast<int>(g)); });
   }
 }
 
 void DiscoveryAgents::Cut(int gateway, bool cut) {
-  world_.discovery.Cut(gateway, cut, world_.Now());
+  world_.discovery.SetCut(gateway, cut, world_.Now());
   auto newest = static_cast<int>(world_.discovery.changes().size());
   if (!cut && newest > 0)
-    world_.schedule.At(world_.discovery.ToldAt(gateway, newest), [this, gateway] { Flush(gateway); });
+    world_.schedule.At(world_.discovery.NotifiedAt(gateway, newest), [this, gateway] { Flush(gateway); });
 }
 
 void DiscoveryAgents::Refuse(bool refuse) {
@@ -131,7 +131,7 @@
 void DiscoveryAgents::Silent(bool silent) {
   silent_ = silent;
   std::vector<Micros> told;
-  world_.discovery.Silent(silent, world_.Now(), &told);
+  world_.discovery.SetSilent(silent, world_.Now(), &told);
   for (size_t g = 0; g < discovery_agents_.size() && !silent; ++g) {
     Flush(static_cast<int>(g));
     if (g < told.size()) world_.schedule.At(told[g], [this, g] { Flush(static_cast<int>(g)); });
--- a/lab/play/real/fleet.cpp
+++ b/lab/play/real/fleet.cpp
@@ -43,8 +43,8 @@
       seeds_(world.day.seed, Stream::kSeeds),
       spoils_(world.day.seed, Stream::kFaults),
       members_(static_cast<size_t>(world.day.gateways)) {
-  bool passed = std::any_of(world.day.incidents.begin(), world.day.incidents.end(),
-                            [](const Incident& i) { return i.what == Happening::kUpgrade; });
+  bool passed = std::any_of(world.day.site_events.begin(), world.day.site_events.end(),
+                            [](const SiteEvent& i) { return i.kind == SiteEventKind::kUpgradeGateway; });
   for (int g = 0; g < world.day.gateways; ++g) {
     Member& m = members_[static_cast<size_t>(g)];
     m.state = std::make_unique<StateFolder>(folder_ + "/" + GatewayName(g) + "-state");
@@ -52,13 +52,13 @@
         std::make_unique<StubCounter>(world.io, world.schedule, world.slice.Counter(g),
                                       [this, g](std::string_view name, double amount, double keep_ms) {
                                         Micros now = world_.Now();
-                                        world_.judge.CounterCalled(now, g, amount);
+                                        world_.judge.OnCounterCall(now, g, amount);
                                         int zone = world_.day.gateway_zone[static_cast<size_t>(g)];
-                                        if (!world_.network.Passes(zone, 0)) return Counter::Answer{};
-                                        Counter::Answer answer = world_.counter.Call(
-                                            now + world_.network.Way(zone, 0), name, amount, keep_ms);
-                                        if (answer.said != Counter::Said::kNothing)
-                                          answer.at += world_.network.Way(0, zone);
+                                        if (!world_.network.Passes(zone, 0)) return Counter::Reply{};
+                                        Counter::Reply answer = world_.counter.Call(
+                                            now + world_.network.OneWayDelay(zone, 0), name, amount, keep_ms);
+                                        if (answer.kind != Counter::ReplyKind::kNoReply)
+                                          answer.at += world_.network.OneWayDelay(0, zone);
                                         return answer;
                                       });
     if (!passed) continue;
@@ -80,7 +80,7 @@
 }
 
 std::string Fleet::Write(int gateway) {
-  Addresses addresses;
+  GatewayAddresses addresses;
   addresses.listen = Slice::Text(world_.slice.Gateway(gateway));
   addresses.discovery = Slice::Text(world_.AgentAt(gateway));
   addresses.counter = Slice::Text(world_.CounterAt(gateway));
@@ -105,7 +105,7 @@
 void Fleet::Launch(int gateway, bool beside) {
   Member& m = members_[static_cast<size_t>(gateway)];
   std::string name = GatewayName(gateway);
-  world_.judge.GatewayStarted(world_.Now(), gateway);
+  world_.judge.OnGatewayStarted(world_.Now(), gateway);
   world_.told_to_end_at[static_cast<size_t>(gateway)] = kNever;
   if (!beside) {  // empty at each start, but for a new version beside the old
     m.temporary = folder_ + "/" + name + "-tmp-" + std::to_string(m.launches);
@@ -124,8 +124,9 @@
                        {"TMPDIR", m.temporary}};
   if (!faults_library_.empty()) {
     start.environment["LD_PRELOAD"] = faults_library_;
-    start.environment["LEMONCHUTE_FAULTS"] = DrawSystemFaults(
-        {world_.day.seed, gateway, m.launches, ToS(world_.day.length), std::max(0.0, ToS(world_.Now()))});
+    start.environment["LEMONCHUTE_FAULTS"] =
+        DrawSystemFaults({world_.day.seed, gateway, m.launches, ToSeconds(world_.day.length),
+                          std::max(0.0, ToSeconds(world_.Now()))});
   }
   if (m.listening >= 0) start.environment["LB_PASSED_SOCKET"] = "4";
   start.listening = m.listening;
@@ -145,7 +146,8 @@
   m.processes.push_back(std::make_unique<Process>(start));
   if (ends[1] >= 0) close(ends[1]);
   m.state->Started();
-  history_.Add({world_.Now(), What::kStarts, gateway, m.processes.back()->id(), "", 0, 0, kNever});
+  history_.Add(
+      {world_.Now(), HistoryEventKind::kProcessStarted, gateway, m.processes.back()->id(), "", 0, 0, kNever});
   m.expected_end = false;
   ++m.launches;
 }
@@ -204,11 +206,11 @@
                     member.ready = answer.status == 200;
                     if (member.ready && member.went_on == kNever) member.went_on = world_.Now();
                     if (member.ready)
-                      world_.client_router.Ready(gateway);
+                      world_.client_router.OnGatewayReady(gateway);
                     else if (answer.status != 0)
-                      world_.client_router.Draining(gateway, world_.Now());
+                      world_.client_router.OnGatewayDraining(gateway, world_.Now());
                     else
-                      world_.client_router.Gone(gateway, world_.Now());
+                      world_.client_router.OnGatewayDown(gateway, world_.Now());
                   });
   world_.schedule.After(kSecond, [this, gateway, connection, asked] {
     Member& member = members_[static_cast<size_t>(gateway)];
@@ -217,7 +219,7 @@
     member.front.reset();
     member.asking = member.ready = false;
     connection->Close();
-    world_.client_router.Gone(gateway, asked);
+    world_.client_router.OnGatewayDown(gateway, asked);
   });
 }
 
@@ -232,8 +234,8 @@
       bool newest = m.told_ended + 1 == m.processes.size();
       if (newest) world_.told_to_end_at[static_cast<size_t>(g)] = kNever;
       if (newest && !m.expected_end && !ending_) {
-        world_.judge.Crashed(world_.Now(), g, *ended);
-        world_.judge.GatewayEnded(world_.Now(), g);
+        world_.judge.OnGatewayCrashed(world_.Now(), g, *ended);
+        world_.judge.OnGatewayEnded(world_.Now(), g);
         m.whole_day = false;
       }
     }
@@ -242,7 +244,7 @@
 }
 
 void Fleet::Ends(int gateway, const Process& process) {
-  history_.Add({world_.Now(), What::kEnds, gateway, process.id(), "", 0, 0, kNever});
+  history_.Add({world_.Now(), HistoryEventKind::kProcessEnded, gateway, process.id(), "", 0, 0, kNever});
 }
 
 void Fleet::SignalAll(Member& member, int signal) {
@@ -258,10 +260,11 @@
   if (m.processes.empty() || m.processes.back()->Ended()) return;
   Micros told_to_end_at = std::exchange(world_.told_to_end_at[static_cast<size_t>(gateway)], kNever);
   bool had_its_time = told_to_end_at != kNever &&
-                      world_.Now() + kWatchEach >= told_to_end_at + world_.day.KillAfter() && !m.held_up;
+                      world_.Now() + kWatchEach >= told_to_end_at + world_.day.TerminationGrace() &&
+                      !m.held_up;
   if (had_its_time)
-    world_.judge.KilledAfterItsTime(world_.Now(), gateway, told_to_end_at + kTakenAfterSigterm);
-  world_.judge.GatewayEnded(world_.Now(), gateway);
+    world_.judge.OnGatewayKilledAfterGrace(world_.Now(), gateway, told_to_end_at + kTakenAfterSigterm);
+  world_.judge.OnGatewayEnded(world_.Now(), gateway);
   SignalAll(m, SIGKILL);  // both, in the middle of an upgrade
 }
 
@@ -302,8 +305,8 @@
   if (was == (m.stops > 0) || m.processes.empty()) return;
   SignalAll(m, stop ? SIGSTOP : SIGCONT);
   if (!stop && m.went_on != kNever) m.went_on = world_.Now();
-  history_.Add({world_.Now(), stop ? What::kStops : What::kGoesOn, gateway, m.processes.back()->id(), "", 0,
-                0, kNever});
+  history_.Add({world_.Now(), stop ? HistoryEventKind::kProcessPaused : HistoryEventKind::kProcessResumed,
+                gateway, m.processes.back()->id(), "", 0, 0, kNever});
 }
 
 void Fleet::Squeeze(int gateway, double share) {
@@ -318,19 +321,19 @@
   Member& m = members_[static_cast<size_t>(gateway)];
   if (m.squeezes != squeeze || ending_) return;
   SignalAll(m, SIGSTOP);
-  world_.schedule.After(FromS((1 - share) * ToS(kSliceOfTime)), [this, gateway, squeeze] {
+  world_.schedule.After(FromSeconds((1 - share) * ToSeconds(kCpuSlice)), [this, gateway, squeeze] {
     Member& member = members_[static_cast<size_t>(gateway)];
     if (member.squeezes == squeeze && member.stops == 0) SignalAll(member, SIGCONT);
   });
-  world_.schedule.After(kSliceOfTime, [this, gateway, share, squeeze] { Slice(gateway, share, squeeze); });
+  world_.schedule.After(kCpuSlice, [this, gateway, share, squeeze] { Slice(gateway, share, squeeze); });
 }
 
-void Fleet::Befall(int gateway, Spoil what) {
+void Fleet::Befall(int gateway, StateFolderFault what) {
   auto g = static_cast<size_t>(gateway);
   try {
     members_[g].state->Befall(what, *members_[(g + 1) % members_.size()].state, &spoils_);
   } catch (const std::filesystem::filesystem_error& error) {
-    world_.log->warn("at_s={:.3f} state of {} could not be spoilt: {}", ToS(world_.Now()),
+    world_.log->warn("at_s={:.3f} state of {} could not be spoilt: {}", ToSeconds(world_.Now()),
                      GatewayName(gateway), error.what());
   }
 }
@@ -358,7 +361,7 @@
         if (members_[static_cast<size_t>(gateway)].expected_end) return;  // it was killed meanwhile
         if (answer.status == 200) {
           old->Signal(SIGTERM);
-          return world_.schedule.After(world_.day.KillAfter(), [old] {
+          return world_.schedule.After(world_.day.TerminationGrace(), [old] {
             if (!old->Ended()) old->Signal(SIGKILL);
           });
         }
@@ -370,15 +373,15 @@
           return world_.schedule.After(
               kReadyEach, [this, gateway, ops, old, limit] { AskUpgraded(gateway, ops, old, limit); });
         }
-        world_.judge.Broke("upgrade", world_.Now(), UINT32_MAX,
-                           GatewayName(gateway) + ": the new process was not ready within 6 s");
+        world_.judge.AddViolation("upgrade", world_.Now(), UINT32_MAX,
+                                  GatewayName(gateway) + ": the new process was not ready within 6 s");
       });
 }
 
 void Fleet::Retune(double scale) {
   scale_ *= scale;
   ++hups_;
-  world_.judge.Scaled(scale);
+  world_.judge.OnQuotasScaled(scale);
   for (int g = 0; g < world_.day.gateways; ++g) {
     Write(g);
     SignalAll(members_[static_cast<size_t>(g)], SIGHUP);
@@ -432,8 +435,8 @@
     std::error_code failed;
     auto bytes = std::filesystem::file_size(path, failed);
     if (!failed && bytes > kMostLog) {
-      world_.judge.Broke("log", world_.Now(), UINT32_MAX,
-                         GatewayName(g) + " wrote " + std::to_string(bytes) + " bytes of log");
+      world_.judge.AddViolation("log", world_.Now(), UINT32_MAX,
+                                GatewayName(g) + " wrote " + std::to_string(bytes) + " bytes of log");
       continue;
     }
     std::ifstream in(path, std::ios::binary);
@@ -444,8 +447,8 @@
       bool of_times =
           line.find("_in_time: ") != std::string::npos || line.find("time_told: ") != std::string::npos;
       if (line.rfind(kViolated, 0) == 0 && !(of_times && members_[static_cast<size_t>(g)].held_up))
-        world_.judge.Broke("invariant", world_.Now(), UINT32_MAX, GatewayName(g) + ": " + line);
-      if (auto fact = ReadSaying(line, g, world_.schedule.ClockAtStart(), &fault))
+        world_.judge.AddViolation("invariant", world_.Now(), UINT32_MAX, GatewayName(g) + ": " + line);
+      if (auto fact = ParseLogEvent(line, g, world_.schedule.ClockAtStart(), &fault))
         history_.Add(std::move(*fact));
       else if (!fault.empty() && ++unread == 1)
         world_.log->warn("{} said what can't be read: {}: {}", GatewayName(g), fault, line.substr(0, 200));
--- a/lab/play/real/fleet.h
+++ b/lab/play/real/fleet.h
@@ -34,7 +34,7 @@
   void Squeeze(int gateway, double share);
   // It starts anew, and says that it is `number`.
   void Claim(int gateway, int number);
-  void Befall(int gateway, Spoil what);
+  void Befall(int gateway, StateFolderFault what);
   void Upgrade(int gateway);
   void Retune(double scale);  // a new configuration and SIGHUP, to all
 
--- a/lab/play/real/misbehaving_peers.cpp
+++ b/lab/play/real/misbehaving_peers.cpp
@@ -52,9 +52,9 @@
 
 void MisbehavingPeers::Next(uint64_t round) {
   if (round != round_) return;
-  world_.schedule.After(FromS(1 / times_a_second_), [this, round] { Next(round); });
-  auto peer = std::make_shared<Peer>(world_.io, random_.Below(world_.day.gateways));
-  peer->sends = Texts()[static_cast<size_t>(random_.Below(static_cast<int>(Texts().size())))];
+  world_.schedule.After(FromSeconds(1 / times_a_second_), [this, round] { Next(round); });
+  auto peer = std::make_shared<Peer>(world_.io, random_.UniformInt(world_.day.gateways));
+  peer->sends = Texts()[static_cast<size_t>(random_.UniformInt(static_cast<int>(Texts().size())))];
   bool ends = random_.Chance(0.2);
   world_.schedule.After(kOwedWithin + kSlack, [this, peer] { Over(peer, false); });
   peer->socket.async_connect(
@@ -77,9 +77,9 @@
         peer->got.append(peer->part.data(), n);
         bool answered = peer->got.size() >= 12;  // "HTTP/1.1 400"
         if (answered && peer->got[9] == '2') {
-          world_.judge.Broke("one answer", world_.Now(), UINT32_MAX,
-                             GatewayName(peer->gateway) +
-                                 " served what was no proper request: " + peer->sends.substr(0, 40));
+          world_.judge.AddViolation("one answer", world_.Now(), UINT32_MAX,
+                                    GatewayName(peer->gateway) +
+                                        " served what was no proper request: " + peer->sends.substr(0, 40));
         }
         if (error || answered) return Over(peer, true);
         Read(peer);
@@ -91,7 +91,7 @@
   peer->over = true;
   boost::system::error_code ignored;
   peer->socket.close(ignored);
-  if (owes_(peer->gateway)) world_.judge.RudePeer(dealt_with);
+  if (owes_(peer->gateway)) world_.judge.OnMisbehavingPeer(dealt_with);
 }
 
 }  // namespace lemonchute::lab
--- a/lab/play/real/operators.cpp
+++ b/lab/play/real/operators.cpp
@@ -42,7 +42,7 @@
 }
 
 void Operators::Offline(int backend, bool offline) {
-  world_.judge.Offline(world_.Now(), backend, offline);
+  world_.judge.OnBackendOffline(world_.Now(), backend, offline);
   const std::string& name = world_.day.backends[static_cast<size_t>(backend)].name;
   for (int g = 0; g < world_.day.gateways; ++g) {
     Call(g, "PUT", "/control/backends/" + name + (offline ? "/offline" : "/online"));
@@ -55,9 +55,9 @@
   world_.schedule.After(drain ? kDrained : kBack, [this, gateway, drain, round] {
     if (over_ || round != drains_[static_cast<size_t>(gateway)] || !fleet_.WholeDay(gateway)) return;
     if (fleet_.Ready(gateway) != drain) return;
-    world_.judge.Broke("drain of a gateway", world_.Now(), UINT32_MAX,
-                       GatewayName(gateway) + (drain ? " says yes 4 s after it was drained"
-                                                     : " says no 2 s after its drain's end"));
+    world_.judge.AddViolation("drain of a gateway", world_.Now(), UINT32_MAX,
+                              GatewayName(gateway) + (drain ? " says yes 4 s after it was drained"
+                                                            : " says no 2 s after its drain's end"));
   });
 }
 
@@ -70,7 +70,7 @@
 void Operators::ScrapeOnce(uint64_t round) {
   if (round != scrape_round_ || over_) return;
   for (int g = 0; g < world_.day.gateways; ++g) Call(g, "GET", "/control/counters");
-  world_.schedule.After(FromS(1 / scrape_), [this, round] { ScrapeOnce(round); });
+  world_.schedule.After(FromSeconds(1 / scrape_), [this, round] { ScrapeOnce(round); });
 }
 
 // Off by 3 or by 1%, attempts by 2%; requests whose client had gone may count anywhere.
@@ -88,14 +88,14 @@
     auto says = told.find(name);
     if (says != told.end() && says->second >= from && says->second <= to) return;
     ++off_;
-    world_.judge.Broke(
+    world_.judge.AddViolation(
         "figures", world_.Now(), UINT32_MAX,
         GatewayName(gateway) + " says " +
             (says == told.end() ? "nothing" : std::to_string(static_cast<long>(says->second))) + " for " +
             name + ", peers saw " + std::to_string(low) + " to " + std::to_string(high));
   };
   auto bound = [](uint64_t most, double share) { return std::max(3.0, share * static_cast<double>(most)); };
-  Judge::Seen seen = world_.judge.SeenAt(gateway);
+  RunChecker::ClassTotals seen = world_.judge.TotalsOf(gateway);
   for (size_t c = 0; c < world_.day.classes.size(); ++c) {
     for (auto [name, counts] :
          {std::pair{"ok.", &seen.served}, {"shed.", &seen.refused}, {"errors.", &seen.failed}}) {
@@ -114,9 +114,9 @@
   ++checked_;
   if (held <= explained) return;
   ++off_;
-  world_.judge.Broke("descriptors", world_.Now(), UINT32_MAX,
-                     GatewayName(gateway) + " holds " + std::to_string(held) + " descriptors where " +
-                         std::to_string(explained) + " are explained by connections");
+  world_.judge.AddViolation("descriptors", world_.Now(), UINT32_MAX,
+                            GatewayName(gateway) + " holds " + std::to_string(held) + " descriptors where " +
+                                std::to_string(explained) + " are explained by connections");
 }
 
 void Operators::Compare(std::function<void()> done) {
--- a/lab/play/real/peers.cpp
+++ b/lab/play/real/peers.cpp
@@ -48,9 +48,9 @@
 
 void Peers::Carry(int from, int to, const std::string& bytes) {
   ++counts_.sent;
-  history_.Add({world_.Now(), What::kDatagram, from, 0, GatewayName(to), static_cast<double>(bytes.size()), 0,
-                kNever});
-  if (bytes.size() > kMostDatagram) {
+  history_.Add({world_.Now(), HistoryEventKind::kDatagramSent, from, 0, GatewayName(to),
+                static_cast<double>(bytes.size()), 0, kNever});
+  if (bytes.size() > kMaxPeerDatagramBytes) {
     ++counts_.too_long;
     return;
   }
@@ -58,7 +58,7 @@
       to_zone = world_.day.gateway_zone[static_cast<size_t>(to)];
   std::vector<Micros> copies;
   if (world_.network.Passes(from_zone, to_zone))
-    copies = world_.paths.Datagram(from, to, world_.network.Way(from_zone, to_zone));
+    copies = world_.paths.DatagramDelays(from, to, world_.network.OneWayDelay(from_zone, to_zone));
   counts_.lost += copies.empty() ? 1 : 0;
   for (Micros wait : copies) {
     world_.schedule.After(wait, [this, from, to, bytes] { Arrive(from, to, bytes); });
@@ -68,7 +68,8 @@
 // A receiver drops what comes faster than it takes (WIRE). What was sent before a death arrives after it.
 void Peers::Arrive(int from, int to, const std::string& bytes) {
   Micros now = world_.Now();
-  history_.Add({now, What::kHeard, to, 0, GatewayName(from), static_cast<double>(bytes.size()), 0, kNever});
+  history_.Add({now, HistoryEventKind::kDatagramReceived, to, 0, GatewayName(from),
+                static_cast<double>(bytes.size()), 0, kNever});
   std::vector<Micros>& heard = heard_[static_cast<size_t>(to)];
   heard.erase(heard.begin(),
               std::find_if(heard.begin(), heard.end(), [&](Micros at) { return at + kSecond > now; }));
--- a/lab/play/real/real_day.cpp
+++ b/lab/play/real/real_day.cpp
@@ -60,7 +60,7 @@
 
 class RealDay {
  public:
-  RealDay(const Day& day, const RealOptions& options)
+  RealDay(const RunSpec& day, const RealOptions& options)
       : day_(day),
         options_(options),
         folder_(options.folder),
@@ -79,7 +79,7 @@
         misbehaving_peers_(world_,
                            [this](int g) { return fleet_.Ready(g) && fleet_.Answers(g, world_.Now()); }),
         signals_(world_.io, SIGINT, SIGTERM) {
-    if (options_.history != nullptr) world_.judge.Keep(&history_);
+    if (options_.history != nullptr) world_.judge.RecordTo(&history_);
     backends_.OnChange([this](int backend, bool up) { relays_.Backend(backend, up); });
   }
 
@@ -101,11 +101,11 @@
       fleet_.Start([this](std::vector<int> late) { Begin(std::move(late)); });
     world_.io.run();
     if (!options_.null_run) JudgeHistory();
-    for (const Breach& b : world_.judge.breaches()) {
-      world_.log->error("at_s={:.3f} rule=\"{}\" request={} what=\"{}\"", ToS(b.at), b.rule,
-                        RequestId(day_, static_cast<uint32_t>(b.request)), b.what);
+    for (const Violation& b : world_.judge.violations()) {
+      world_.log->error("at_s={:.3f} rule=\"{}\" request={} what=\"{}\"", ToSeconds(b.at), b.rule,
+                        RequestId(day_, static_cast<uint32_t>(b.request)), b.description);
     }
-    world_.log->info("over at_s={:.3f} breaches={}", ToS(ended_), world_.judge.broken());
+    world_.log->info("over at_s={:.3f} breaches={}", ToSeconds(ended_), world_.judge.violation_count());
     nlohmann::json report = world_.judge.Report(std::min(day_.end, ended_));
     report["play"] = options_.null_run ? "null" : "real";
     report["stopped"] = stopped_;
@@ -130,7 +130,7 @@
                              {"lost", peers.lost},         {"too_long", peers.too_long},
                              {"too_many", peers.too_many}, {"from_strangers", peers.strangers}};
       report["relays"] = relays_.paths();
-      report["timeline"] = Timeline(history_, ended_);
+      report["timeline"] = BuildTimeline(history_, ended_);
     }
     if (options_.history != nullptr) *options_.history = std::move(history_);
     return report;
@@ -140,27 +140,28 @@
   // What hangs on times no longer than the lab's own lateness says so.
   void JudgeHistory() {
     fleet_.ReadSayings();
-    history_.Order();
-    Bounds bounds = BoundsOf(day_, ended_);
+    history_.Sort();
+    RuleLimits bounds = RuleLimitsOf(day_, ended_);
     Micros late = world_.schedule.LateAt(1);
-    for (const Finding& f : JudgeFleet(history_, bounds)) {
-      std::string what = f.what;
-      if (f.lasted <= late) what += " (for no longer than the lab itself was late)";
-      world_.judge.Broke("fleet: " + f.rule, f.at, UINT32_MAX, what);
+    for (const FleetViolation& f : CheckFleet(history_, bounds)) {
+      std::string what = f.description;
+      if (f.duration <= late) what += " (for no longer than the lab itself was late)";
+      world_.judge.AddViolation("fleet: " + f.rule, f.at, UINT32_MAX, what);
     }
   }
 
   void Begin(std::vector<int> late) {
     if (finishing_) return;
     world_.schedule.Begin(Schedule::Clock::now());
-    world_.log->info("begins not_ready={} clock_s={:.6f}", late.size(), ToS(world_.schedule.ClockAtStart()));
+    world_.log->info("begins not_ready={} clock_s={:.6f}", late.size(),
+                     ToSeconds(world_.schedule.ClockAtStart()));
     discovery_agents_.Begin();
     for (int g : late) {
-      world_.judge.Crashed(0, g, "did not become ready");
-      world_.client_router.Gone(g, 0);
+      world_.judge.OnGatewayCrashed(0, g, "did not become ready");
+      world_.client_router.OnGatewayDown(g, 0);
     }
     clients_.Begin();
-    for (const Incident& incident : day_.incidents)
+    for (const SiteEvent& incident : day_.site_events)
       world_.schedule.At(incident.at, [this, &incident] { Happen(incident); });
     world_.schedule.At(day_.end + kFiguresLag, [this] { Finish(); });
     if (options_.watch) Show();
@@ -173,7 +174,7 @@
       now["doors"].push_back(Slice::Text(world_.slice.Ops(g, 0))),
           now["listens"].push_back(Slice::Text(world_.slice.Gateway(g)));
     }
-    for (const DayBackend& b : day_.backends) now["names"].push_back(b.name);
+    for (const BackendSpec& b : day_.backends) now["names"].push_back(b.name);
     now["plan"] = day_.plans[0].name, now["class"] = day_.classes[0].name;
     options_.watch(now);
     world_.schedule.After(kSecond, [this] { Show(); });
@@ -190,68 +191,70 @@
   }
 
   void Path(int fault, bool on) {
-    world_.paths.Set(fault, on);
+    world_.paths.SetActive(fault, on);
     relays_.Changed();
-    if (day_.path_faults[static_cast<size_t>(fault)].far != Far::kDiscovery) return;
+    if (day_.path_faults[static_cast<size_t>(fault)].remote != RemoteParty::kDiscovery) return;
     for (int g : world_.paths.GatewaysOf(fault))
-      discovery_agents_.Cut(g, !world_.paths.Passes(g, Far::kDiscovery));
+      discovery_agents_.Cut(g, !world_.paths.Passes(g, RemoteParty::kDiscovery));
   }
 
-  void Happen(const Incident& incident) {
+  void Happen(const SiteEvent& incident) {
     if (options_.null_run || finishing_) return;
     bool on = incident.size > 0;
-    NoteIncident(day_, incident, &history_);
+    RecordSiteEvent(day_, incident, &history_);
     std::string targets;
     for (int t : incident.targets) targets.append(targets.empty() ? "" : ",").append(std::to_string(t));
-    world_.log->info("at_s={:.3f} incident=\"{}\" targets={} size={}", ToS(incident.at), Name(incident.what),
-                     targets, incident.size);
+    world_.log->info("at_s={:.3f} incident=\"{}\" targets={} size={}", ToSeconds(incident.at),
+                     Name(incident.kind), targets, incident.size);
     for (int t : incident.targets) {
-      switch (incident.what) {
-        case Happening::kKill: fleet_.Kill(t); break;
-        case Happening::kTerminate: fleet_.Terminate(t); break;
-        case Happening::kRevive: fleet_.Revive(t); break;
-        case Happening::kStop: fleet_.Stop(t, true); break;
-        case Happening::kContinue: fleet_.Stop(t, false); break;
-        case Happening::kDrainBackend: discovery_agents_.Tell({t, Listed::kLeaving, 0}); break;
-        case Happening::kLeave:
+      switch (incident.kind) {
+        case SiteEventKind::kKillGateway: fleet_.Kill(t); break;
+        case SiteEventKind::kTerminateGateway: fleet_.Terminate(t); break;
+        case SiteEventKind::kStartGateway: fleet_.Revive(t); break;
+        case SiteEventKind::kPauseGateway: fleet_.Stop(t, true); break;
+        case SiteEventKind::kResumeGateway: fleet_.Stop(t, false); break;
+        case SiteEventKind::kDrainBackend: discovery_agents_.Tell({t, ListState::kLeaving, 0}); break;
+        case SiteEventKind::kRemoveBackend:
           backends_.Leave(t);
-          discovery_agents_.Tell({t, Listed::kLeft, 0});
+          discovery_agents_.Tell({t, ListState::kLeft, 0});
           break;
-        case Happening::kEnd: backends_.End(t); break;
-        case Happening::kStart:
+        case SiteEventKind::kStopBackend: backends_.End(t); break;
+        case SiteEventKind::kStartBackend:
           backends_.Start(t);
-          discovery_agents_.Tell({t, Listed::kActive, world_.Now()});
+          discovery_agents_.Tell({t, ListState::kActive, world_.Now()});
           break;
-        case Happening::kFail: backends_.Fail(t, incident.size); break;
-        case Happening::kSlow: backends_.Slow(t, incident.size); break;
-        case Happening::kSilent: backends_.Silent(t, on); break;
-        case Happening::kCut: world_.network.Cut(t, on); break;
-        case Happening::kOffline: operators_.Offline(t, true); break;
-        case Happening::kOnline: operators_.Offline(t, false); break;
-        case Happening::kOutOfService: operators_.Drain(t, true); break;
-        case Happening::kInService: operators_.Drain(t, false); break;
-        case Happening::kUpgrade: fleet_.Upgrade(t); break;
-        case Happening::kPath: Path(t, on); break;
-        case Happening::kClaim: fleet_.Claim(t, static_cast<int>(incident.size)); break;
-        case Happening::kSpoil: fleet_.Befall(t, static_cast<Spoil>(static_cast<int>(incident.size))); break;
-        case Happening::kSqueeze: fleet_.Squeeze(t, incident.size); break;
+        case SiteEventKind::kBackendErrors: backends_.Fail(t, incident.size); break;
+        case SiteEventKind::kBackendSlow: backends_.Slow(t, incident.size); break;
+        case SiteEventKind::kBackendSilent: backends_.Silent(t, on); break;
+        case SiteEventKind::kZoneCut: world_.network.SetZoneCut(t, on); break;
+        case SiteEventKind::kBackendOffline: operators_.Offline(t, true); break;
+        case SiteEventKind::kBackendOnline: operators_.Offline(t, false); break;
+        case SiteEventKind::kGatewayOutOfService: operators_.Drain(t, true); break;
+        case SiteEventKind::kGatewayInService: operators_.Drain(t, false); break;
+        case SiteEventKind::kUpgradeGateway: fleet_.Upgrade(t); break;
+        case SiteEventKind::kPathFault: Path(t, on); break;
+        case SiteEventKind::kClaimIdentity: fleet_.Claim(t, static_cast<int>(incident.size)); break;
+        case SiteEventKind::kStateFolderFault:
+          fleet_.Befall(t, static_cast<StateFolderFault>(static_cast<int>(incident.size)));
+          break;
+        case SiteEventKind::kStarveGateway: fleet_.Squeeze(t, incident.size); break;
         default: break;
       }
     }
-    switch (incident.what) {
-      case Happening::kResets: backends_.Resets(incident.size); break;
-      case Happening::kCounterDown: world_.counter.Down(on); break;
-      case Happening::kCounterLoses: world_.counter.Lose(incident.size); break;
-      case Happening::kDiscoverySilent: discovery_agents_.Silent(on); break;
-      case Happening::kDiscoveryRefuses: discovery_agents_.Refuse(on); break;
-      case Happening::kRude: misbehaving_peers_.Come(incident.size); break;
-      case Happening::kRetune: fleet_.Retune(incident.size); break;
-      case Happening::kScrape: operators_.Scrape(incident.size); break;
+    switch (incident.kind) {
+      case SiteEventKind::kAttemptResets: backends_.Resets(incident.size); break;
+      case SiteEventKind::kCounterDown: world_.counter.SetDown(on); break;
+      case SiteEventKind::kCounterLoses: world_.counter.SetLostShare(incident.size); break;
+      case SiteEventKind::kDiscoverySilent: discovery_agents_.Silent(on); break;
+      case SiteEventKind::kDiscoveryRefuses: discovery_agents_.Refuse(on); break;
+      case SiteEventKind::kMisbehavingPeers: misbehaving_peers_.Come(incident.size); break;
+      case SiteEventKind::kScaleQuotas: fleet_.Retune(incident.size); break;
+      case SiteEventKind::kScrapeMetrics: operators_.Scrape(incident.size); break;
       default: break;
     }
   }
 
-  const Day& day_;
+  const RunSpec& day_;
   const RealOptions options_;
   Folder folder_;
   World world_;
@@ -272,12 +275,12 @@
 
 }  // namespace
 
-nlohmann::json PlayReal(const Day& day, const RealOptions& options) {
+nlohmann::json PlayReal(const RunSpec& day, const RealOptions& options) {
   if (day.gateways > kMostGateways) {
     throw CannotPlay("a day on real sockets has at most " + std::to_string(kMostGateways) +
                      " gateways, this one has " + std::to_string(day.gateways) + ": play it in virtual time");
   }
-  if (day.StreamFaults() && static_cast<int>(day.backends.size()) > Slice::kMostVia) {
+  if (day.HasStreamFaults() && static_cast<int>(day.backends.size()) > Slice::kMostVia) {
     throw CannotPlay("paths can be befallen with at most " + std::to_string(Slice::kMostVia) +
                      " backends, this day has " + std::to_string(day.backends.size()));
   }
--- a/lab/play/real/real_day.h
+++ b/lab/play/real/real_day.h
@@ -33,7 +33,7 @@
 
 // Plays `day`; the judge's report, with what each gateway used and how late the lab was. Ends early, with all
 // its processes, on SIGINT and SIGTERM; the report then says so. At most 100 gateways.
-nlohmann::json PlayReal(const Day& day, const RealOptions& options);
+nlohmann::json PlayReal(const RunSpec& day, const RealOptions& options);
 
 }  // namespace lemonchute::lab
 
--- a/lab/play/real/relays.cpp
+++ b/lab/play/real/relays.cpp
@@ -11,7 +11,8 @@
 
 }  // namespace
 
-Relay::Relay(World& world, int gateway, Far far, int other, const tcp::endpoint& at, const tcp::endpoint& to)
+Relay::Relay(World& world, int gateway, RemoteParty far, int other, const tcp::endpoint& at,
+             const tcp::endpoint& to)
     : world_(world), gateway_(gateway), other_(other), far_(far), at_(at), to_(to) {}
 
 void Relay::Open() {
@@ -106,7 +107,7 @@
   for (size_t at = 0; at < bytes; at += piece) {
     size_t length = std::min(piece, bytes - at);
     if (state.bytes_per_s > 0)
-      due += std::chrono::microseconds(FromS(static_cast<double>(length) / state.bytes_per_s));
+      due += std::chrono::microseconds(FromSeconds(static_cast<double>(length) / state.bytes_per_s));
     half.held.push_back({due, std::string(half.part.data() + at, length)});
   }
   half.last = due;
@@ -158,7 +159,7 @@
   // What its party has not read yet is still looked up.
   world_.schedule.After(kSecond,
                         [this, ends = World::Ends(link->far_end, to_)] { world_.written_at.erase(ends); });
-  if (far_ == Far::kBackends && (!link->joined || link->holed || !link->out.held.empty()))
+  if (far_ == RemoteParty::kBackends && (!link->joined || link->holed || !link->out.held.empty()))
     ++world_.swallowed[static_cast<size_t>(gateway_)];
   links_.erase(link);
 }
@@ -189,17 +190,17 @@
 
 Relays::Relays(World& world) : to_backend_(world.day.backends.size()) {
   if (!world.relayed) return;
-  auto add = [&](int g, Far far, int other, const tcp::endpoint& at, const tcp::endpoint& to) {
+  auto add = [&](int g, RemoteParty far, int other, const tcp::endpoint& at, const tcp::endpoint& to) {
     relays_.push_back(std::make_unique<Relay>(world, g, far, other, at, to));
     return relays_.back().get();
   };
   for (int g = 0; g < world.day.gateways; ++g) {
-    add(g, Far::kCounter, 0, world.CounterAt(g), world.slice.Counter(g))->Open();
-    add(g, Far::kDiscovery, 0, world.AgentAt(g), world.slice.Agent(g))->Open();
+    add(g, RemoteParty::kCounter, 0, world.CounterAt(g), world.slice.Counter(g))->Open();
+    add(g, RemoteParty::kDiscovery, 0, world.AgentAt(g), world.slice.Agent(g))->Open();
     for (size_t b = 0; b < world.day.backends.size(); ++b) {
       auto backend = static_cast<int>(b);
       Relay* relay =
-          add(g, Far::kBackends, backend, world.BackendAt(g, backend), world.slice.Backend(backend));
+          add(g, RemoteParty::kBackends, backend, world.BackendAt(g, backend), world.slice.Backend(backend));
       to_backend_[b].push_back(relay);
       if (world.day.backends[b].starts_at == 0) relay->Open();
     }
--- a/lab/play/real/relays.h
+++ b/lab/play/real/relays.h
@@ -21,7 +21,8 @@
 class Relay {
  public:
   // Listens at `at` from Open() on.
-  Relay(World& world, int gateway, Far far, int other, const tcp::endpoint& at, const tcp::endpoint& to);
+  Relay(World& world, int gateway, RemoteParty far, int other, const tcp::endpoint& at,
+        const tcp::endpoint& to);
   ~Relay() { Close(); }
   void Open();     // throws boost::system::system_error where the address is taken
   void Close();    // as its party does that ends: connections are reset, new ones refused
@@ -52,7 +53,7 @@
   using LinkPtr = std::shared_ptr<Link>;
 
   PathState State(bool out) const {
-    return out ? world_.paths.Out(gateway_, far_, other_) : world_.paths.In(gateway_, far_, other_);
+    return out ? world_.paths.Outbound(gateway_, far_, other_) : world_.paths.Inbound(gateway_, far_, other_);
   }
   void Accept();
   void Take(tcp::socket socket);
@@ -65,7 +66,7 @@
 
   World& world_;
   const int gateway_, other_;
-  const Far far_;
+  const RemoteParty far_;
   const tcp::endpoint at_, to_;
   std::optional<tcp::acceptor> acceptor_;
   std::set<LinkPtr> links_;
--- a/lab/play/real/state_folder.cpp
+++ b/lab/play/real/state_folder.cpp
@@ -29,11 +29,11 @@
   auto size = static_cast<int>(fs::file_size(file));
   if (size == 0) return;
   std::fstream open(file, std::ios::in | std::ios::out | std::ios::binary);
-  int at = random->Below(size);
+  int at = random->UniformInt(size);
   open.seekg(at);
   char byte = static_cast<char>(open.get());
   open.seekp(at);
-  open.put(static_cast<char>(byte ^ (1 << random->Below(8))));
+  open.put(static_cast<char>(byte ^ (1 << random->UniformInt(8))));
 }
 
 }  // namespace
@@ -50,27 +50,27 @@
   fs::create_directories(before_, ignored);
 }
 
-void StateFolder::Befall(Spoil what, const StateFolder& other, Random* random) {
+void StateFolder::Befall(StateFolderFault what, const StateFolder& other, Random* random) {
   switch (what) {
-    case Spoil::kCut:
+    case StateFolderFault::kTruncated:
       for (const fs::path& file : Files(path_))
-        fs::resize_file(file,
-                        static_cast<uintmax_t>(random->Below(static_cast<int>(fs::file_size(file)) + 1)));
+        fs::resize_file(
+            file, static_cast<uintmax_t>(random->UniformInt(static_cast<int>(fs::file_size(file)) + 1)));
       break;
-    case Spoil::kFlip:
+    case StateFolderFault::kBitFlipped:
       for (const fs::path& file : Files(path_)) FlipABit(file, random);
       break;
-    case Spoil::kOlder: Replace(before_, path_); break;
-    case Spoil::kOther: Replace(other.path_, path_); break;
-    case Spoil::kGone: fs::remove_all(path_); break;
-    case Spoil::kUnreadable:
+    case StateFolderFault::kOlderCopy: Replace(before_, path_); break;
+    case StateFolderFault::kOtherGateways: Replace(other.path_, path_); break;
+    case StateFolderFault::kRemoved: fs::remove_all(path_); break;
+    case StateFolderFault::kUnreadable:
       for (const fs::path& file : Files(path_)) fs::permissions(file, fs::perms::none);
       break;
-    case Spoil::kReadOnly:
+    case StateFolderFault::kReadOnly:
       fs::permissions(path_, fs::perms::owner_read | fs::perms::owner_exec);
       for (const fs::path& file : Files(path_)) fs::permissions(file, fs::perms::owner_read);
       break;
-    case Spoil::kNoRoom: no_room_ = true; break;
+    case StateFolderFault::kDiskFull: no_room_ = true; break;
   }
 }
 
