--- a/lab/judge/history.cpp
+++ b/lab/checker/history.cpp
@@ -1,5 +1,5 @@
 // A fact's name on the wire is the one in the table.
-#include "judge/history.h"
+#include "checker/history.h"
 
 #include <algorithm>
 #include <array>
--- a/lab/judge/history.h
+++ b/lab/checker/history.h
@@ -1,14 +1,14 @@
 // Owns the history of the whole fleet: what the lab did and saw, and what each gateway said of itself, as
 // facts in order of the lab's clock. Nothing here knows how a day was played.
-#ifndef LEMONCHUTE_LAB_JUDGE_HISTORY_H_
-#define LEMONCHUTE_LAB_JUDGE_HISTORY_H_
+#ifndef LEMONCHUTE_LAB_CHECKER_HISTORY_H_
+#define LEMONCHUTE_LAB_CHECKER_HISTORY_H_
 
 #include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "model/day.h"
+#include "model/run_spec.h"
 
 namespace lemonchute::lab {
 
@@ -72,4 +72,4 @@
 
 }  // namespace lemonchute::lab
 
-#endif  // LEMONCHUTE_LAB_JUDGE_HISTORY_H_
+#endif  // LEMONCHUTE_LAB_CHECKER_HISTORY_H_
--- a/lab/judge/rules.cpp
+++ b/lab/checker/rules.cpp
@@ -1,5 +1,5 @@
 // The table.
-#include "judge/rules.h"
+#include "checker/rules.h"
 
 namespace lemonchute::lab {
 
--- a/lab/judge/rules.h
+++ b/lab/checker/rules.h
@@ -1,12 +1,12 @@
 // Owns the table of the rules on a whole fleet. Each is a pure function over a history, in a file of its own;
 // a new one is such a file, its declaration here and a line in the table.
-#ifndef LEMONCHUTE_LAB_JUDGE_RULES_H_
-#define LEMONCHUTE_LAB_JUDGE_RULES_H_
+#ifndef LEMONCHUTE_LAB_CHECKER_RULES_H_
+#define LEMONCHUTE_LAB_CHECKER_RULES_H_
 
 #include <string>
 #include <vector>
 
-#include "judge/history.h"
+#include "checker/history.h"
 
 namespace lemonchute::lab {
 
@@ -49,4 +49,4 @@
 
 }  // namespace lemonchute::lab
 
-#endif  // LEMONCHUTE_LAB_JUDGE_RULES_H_
+#endif  // LEMONCHUTE_LAB_CHECKER_RULES_H_
--- a/lab/judge/rules/answers.cpp
+++ b/lab/checker/rules/answers.cpp
@@ -1,7 +1,7 @@
 // A request dies with its process, and waits while that is stopped; else one answer is due by its time.
 #include <map>
 
-#include "judge/rules.h"
+#include "checker/rules.h"
 
 namespace lemonchute::lab {
 
--- a/lab/judge/rules/expired.cpp
+++ b/lab/checker/rules/expired.cpp
@@ -3,7 +3,7 @@
 #include <map>
 #include <set>
 
-#include "judge/rules.h"
+#include "checker/rules.h"
 
 namespace lemonchute::lab {
 
--- a/lab/judge/rules/memory.cpp
+++ b/lab/checker/rules/memory.cpp
@@ -2,7 +2,7 @@
 // from what it never kept.
 #include <map>
 
-#include "judge/rules.h"
+#include "checker/rules.h"
 
 namespace lemonchute::lab {
 
--- a/lab/judge/rules/sum.cpp
+++ b/lab/checker/rules/sum.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <map>
 
-#include "judge/rules.h"
+#include "checker/rules.h"
 
 namespace lemonchute::lab {
 namespace {
--- a/lab/judge/rules/views.cpp
+++ b/lab/checker/rules/views.cpp
@@ -1,7 +1,7 @@
 // Judged from the last fault on: before that, views may differ. Who never says a view has none to compare.
 #include <map>
 
-#include "judge/rules.h"
+#include "checker/rules.h"
 
 namespace lemonchute::lab {
 
--- a/lab/judge/timeline.cpp
+++ b/lab/checker/timeline.cpp
@@ -1,5 +1,5 @@
 // A stretch without an end lasts to the end of the history.
-#include "judge/timeline.h"
+#include "checker/timeline.h"
 
 #include <algorithm>
 #include <map>
--- a/lab/judge/timeline.h
+++ b/lab/checker/timeline.h
@@ -1,11 +1,11 @@
 // Owns how incidents become facts, and the part of a history that a report draws: who lived when, what was
 // wrong, and what was held.
-#ifndef LEMONCHUTE_LAB_JUDGE_TIMELINE_H_
-#define LEMONCHUTE_LAB_JUDGE_TIMELINE_H_
+#ifndef LEMONCHUTE_LAB_CHECKER_TIMELINE_H_
+#define LEMONCHUTE_LAB_CHECKER_TIMELINE_H_
 
 #include <nlohmann/json.hpp>
 
-#include "judge/history.h"
+#include "checker/history.h"
 
 namespace lemonchute::lab {
 
@@ -17,4 +17,4 @@
 
 }  // namespace lemonchute::lab
 
-#endif  // LEMONCHUTE_LAB_JUDGE_TIMELINE_H_
+#endif  // LEMONCHUTE_LAB_CHECKER_TIMELINE_H_
--- a/lab/model/backend.h
+++ b/lab/model/backend.h
@@ -8,7 +8,7 @@
 #include <set>
 #include <unordered_map>
 
-#include "model/day.h"
+#include "model/run_spec.h"
 
 namespace lemonchute::lab {
 
--- a/lab/model/client_router.h
+++ b/lab/model/client_router.h
@@ -7,7 +7,7 @@
 #include <optional>
 #include <vector>
 
-#include "model/day.h"
+#include "model/run_spec.h"
 
 namespace lemonchute::lab {
 
--- a/lab/model/counter.h
+++ b/lab/model/counter.h
@@ -8,7 +8,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "model/day.h"
+#include "model/run_spec.h"
 
 namespace lemonchute::lab {
 
--- a/lab/model/losses.h
+++ b/lab/model/losses.h
@@ -5,7 +5,7 @@
 #include <nlohmann/json.hpp>
 #include <vector>
 
-#include "model/day.h"
+#include "model/run_spec.h"
 
 namespace lemonchute::lab {
 
--- a/lab/model/network.h
+++ b/lab/model/network.h
@@ -4,7 +4,7 @@
 
 #include <vector>
 
-#include "model/day.h"
+#include "model/run_spec.h"
 
 namespace lemonchute::lab {
 
--- a/lab/model/judge.cpp
+++ b/lab/model/run_checker.cpp
@@ -1,5 +1,5 @@
 // The rules as PROTOCOL, TERMS and WIRE word them, and G as BENCH and BRIEF do.
-#include "model/judge.h"
+#include "model/run_checker.h"
 
 #include <xxhash.h>
 
--- a/lab/model/judge.h
+++ b/lab/model/run_checker.h
@@ -1,8 +1,8 @@
 // Owns the verdict on a day: it hears what really happened at clients, backends and the counter, whoever
 // plays the day, checks every rule, and marks each decision by the truth. Events have to come in order of
 // time.
-#ifndef LEMONCHUTE_LAB_MODEL_JUDGE_H_
-#define LEMONCHUTE_LAB_MODEL_JUDGE_H_
+#ifndef LEMONCHUTE_LAB_MODEL_RUN_CHECKER_H_
+#define LEMONCHUTE_LAB_MODEL_RUN_CHECKER_H_
 
 #include <array>
 #include <boost/histogram.hpp>
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "judge/history.h"
+#include "checker/history.h"
 #include "model/choice.h"
 #include "model/discovery.h"
 #include "model/ground_truth.h"
@@ -164,4 +164,4 @@
 
 }  // namespace lemonchute::lab
 
-#endif  // LEMONCHUTE_LAB_MODEL_JUDGE_H_
+#endif  // LEMONCHUTE_LAB_MODEL_RUN_CHECKER_H_
--- a/lab/model/day.cpp
+++ b/lab/model/run_spec.cpp
@@ -1,6 +1,6 @@
 // Draws a day. What customers ask for follows TERMS: most use a part of their quota, some nearly all, some
 // ask for more all day or in spells; each asks by a Poisson process of its present rate.
-#include "model/day.h"
+#include "model/run_spec.h"
 
 #include <algorithm>
 #include <array>
--- a/lab/model/day.h
+++ b/lab/model/run_spec.h
@@ -1,7 +1,7 @@
 // Owns a day: all that is drawn from a scenario and a seed before anything happens. The same scenario and
 // seed give the same day, whoever plays it.
-#ifndef LEMONCHUTE_LAB_MODEL_DAY_H_
-#define LEMONCHUTE_LAB_MODEL_DAY_H_
+#ifndef LEMONCHUTE_LAB_MODEL_RUN_SPEC_H_
+#define LEMONCHUTE_LAB_MODEL_RUN_SPEC_H_
 
 #include <cstdint>
 #include <string>
@@ -183,4 +183,4 @@
 
 }  // namespace lemonchute::lab
 
-#endif  // LEMONCHUTE_LAB_MODEL_DAY_H_
+#endif  // LEMONCHUTE_LAB_MODEL_RUN_SPEC_H_
--- a/lab/play/real/fleet.h
+++ b/lab/play/real/fleet.h
@@ -8,7 +8,7 @@
 #include <memory>
 #include <vector>
 
-#include "judge/history.h"
+#include "checker/history.h"
 #include "play/real/admin_client.h"
 #include "play/real/discovery_agents.h"
 #include "play/real/process.h"
--- a/lab/play/real/peers.h
+++ b/lab/play/real/peers.h
@@ -9,7 +9,7 @@
 #include <memory>
 #include <vector>
 
-#include "judge/history.h"
+#include "checker/history.h"
 #include "play/real/world.h"
 
 namespace lemonchute::lab {
--- a/lab/play/real/real_day.cpp
+++ b/lab/play/real/real_day.cpp
@@ -10,8 +10,8 @@
 #include <csignal>
 #include <filesystem>
 
-#include "judge/rules.h"
-#include "judge/timeline.h"
+#include "checker/rules.h"
+#include "checker/timeline.h"
 #include "play/real/clients.h"
 #include "play/real/misbehaving_peers.h"
 #include "play/real/operators.h"
--- a/lab/play/real/real_day.h
+++ b/lab/play/real/real_day.h
@@ -8,8 +8,8 @@
 #include <stdexcept>
 #include <string>
 
-#include "judge/history.h"
-#include "model/day.h"
+#include "checker/history.h"
+#include "model/run_spec.h"
 
 namespace lemonchute::lab {
 
--- a/lab/play/real/schedule.h
+++ b/lab/play/real/schedule.h
@@ -11,7 +11,7 @@
 #include <queue>
 #include <vector>
 
-#include "model/day.h"
+#include "model/run_spec.h"
 
 namespace lemonchute::lab {
 
--- a/lab/play/virtual/virtual_day.cpp
+++ b/lab/play/virtual/virtual_day.cpp
@@ -1,8 +1,8 @@
 // Joins the parts: clients and their tries, the incidents, and the end.
 #include "play/virtual/virtual_day.h"
 
-#include "judge/rules.h"
-#include "judge/timeline.h"
+#include "checker/rules.h"
+#include "checker/timeline.h"
 #include "play/virtual/gateways.h"
 
 namespace lemonchute::lab {
--- a/lab/play/virtual/virtual_day.h
+++ b/lab/play/virtual/virtual_day.h
@@ -6,8 +6,8 @@
 #include <atomic>
 #include <nlohmann/json.hpp>
 
-#include "judge/history.h"
-#include "model/day.h"
+#include "checker/history.h"
+#include "model/run_spec.h"
 
 namespace lemonchute::lab {
 
--- a/lab/play/virtual/world.h
+++ b/lab/play/virtual/world.h
@@ -5,9 +5,9 @@
 #include "model/client_router.h"
 #include "model/counter.h"
 #include "model/discovery.h"
-#include "model/judge.h"
 #include "model/network.h"
 #include "model/paths.h"
+#include "model/run_checker.h"
 #include "play/virtual/agenda.h"
 
 namespace lemonchute::lab {
--- a/lab/tests/judge_test.cpp
+++ b/lab/tests/judge_test.cpp
@@ -1,6 +1,5 @@
 // Every checker on traces written by hand: what breaks a rule, and what is just within it.
-#include "model/judge.h"
-
+#include "model/run_checker.h"
 #include "tiny.h"
 
 namespace lemonchute::lab {
--- a/lab/tests/relay_test.cpp
+++ b/lab/tests/relay_test.cpp
@@ -1,7 +1,7 @@
 // The relays on real sockets, without any process: what a path lets pass, each way by itself.
 #include <boost/asio/write.hpp>
 
-#include "judge/rules.h"
+#include "checker/rules.h"
 #include "play/real/peers.h"
 #include "play/real/relays.h"
 #include "tiny.h"
--- a/lab/tests/rules_test.cpp
+++ b/lab/tests/rules_test.cpp
@@ -1,9 +1,9 @@
 // The rules on a whole fleet, each over histories written by hand: what it names, and what it leaves alone.
-#include "judge/rules.h"
+#include "checker/rules.h"
 
 #include <sstream>
 
-#include "judge/timeline.h"
+#include "checker/timeline.h"
 #include "model/random.h"
 #include "tiny.h"
 
--- a/lab/tests/tiny.h
+++ b/lab/tests/tiny.h
@@ -7,7 +7,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "model/day.h"
+#include "model/run_spec.h"
 
 namespace lemonchute::lab {
 
