--- a/lab/checker/history.cpp
+++ b/lab/checker/history.cpp
@@ -11,79 +11,81 @@
 namespace lemonchute::lab {
 namespace {
 
-constexpr std::array<const char*, 21> kNames = {"starts",   "ends",  "stops", "goes-on",  "fault", "heal",
-                                                "datagram", "heard", "asked", "answered", "gone",  "uses",
-                                                "whole",    "holds", "drops", "revoked",  "owns",  "yields",
-                                                "view",     "kept",  "trusts"};
-constexpr size_t kMostSaying = 4096;  // longer lines are no sayings of ours
+constexpr std::array<const char*, 21> kKindNames = {
+    "starts", "ends",    "stops",    "goes-on", "fault", "heal",  "datagram",
+    "heard",  "asked",   "answered", "gone",    "uses",  "whole", "holds",
+    "drops",  "revoked", "owns",     "yields",  "view",  "kept",  "trusts"};
+constexpr size_t kMaxLogEventBytes = 4096;  // longer lines are no sayings of ours
 
 template <typename T>
-bool Read(std::string_view text, T* value) {
+bool ParseNumber(std::string_view text, T* value) {
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), *value);
   return error == std::errc() && end == text.data() + text.size() && !text.empty();
 }
 
 }  // namespace
 
-const char* Name(HistoryEventKind what) { return kNames[static_cast<size_t>(what)]; }
+const char* Name(HistoryEventKind kind) { return kKindNames[static_cast<size_t>(kind)]; }
 
 void History::Sort() {
-  std::stable_sort(facts_.begin(), facts_.end(),
+  std::stable_sort(events_.begin(), events_.end(),
                    [](const HistoryEvent& a, const HistoryEvent& b) { return a.at < b.at; });
 }
 
 std::string History::ToJsonLines() const {
   std::string out;
-  for (const HistoryEvent& f : facts_) {
-    nlohmann::ordered_json line = {{"at_us", f.at}, {"what", Name(f.kind)}, {"gateway", f.gateway}};
-    if (f.process != 0) line["process"] = f.process;
-    if (!f.subject.empty()) line["subject"] = f.subject;
-    if (f.amount != 0) line["amount"] = f.amount;
-    if (f.rate != 0) line["rate"] = f.rate;
-    if (f.until != kNever) line["until_us"] = f.until;
+  for (const HistoryEvent& event : events_) {
+    nlohmann::ordered_json line = {
+        {"at_us", event.at}, {"what", Name(event.kind)}, {"gateway", event.gateway}};
+    if (event.process != 0) line["process"] = event.process;
+    if (!event.subject.empty()) line["subject"] = event.subject;
+    if (event.amount != 0) line["amount"] = event.amount;
+    if (event.rate != 0) line["rate"] = event.rate;
+    if (event.until != kNever) line["until_us"] = event.until;
     out += line.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace) + "\n";
   }
   return out;
 }
 
 std::optional<HistoryEvent> ParseLogEvent(std::string_view line, int gateway, Micros clock_at_start,
-                                          std::string* fault) {
-  fault->clear();
-  if (line.substr(0, 6) != "fleet " || line.size() > kMostSaying) return std::nullopt;
+                                          std::string* error) {
+  error->clear();
+  if (line.substr(0, 6) != "fleet " || line.size() > kMaxLogEventBytes) return std::nullopt;
   std::map<std::string_view, std::string_view> fields;
   for (line.remove_prefix(6); !line.empty();) {
     size_t space = std::min(line.find(' '), line.size());
     std::string_view field = line.substr(0, space);
     size_t equals = field.find('=');
-    if (equals == std::string_view::npos && !field.empty()) *fault = "a field without '='";
+    if (equals == std::string_view::npos && !field.empty()) *error = "a field without '='";
     if (equals != std::string_view::npos &&
         !fields.emplace(field.substr(0, equals), field.substr(equals + 1)).second)
-      *fault = "a field twice";
+      *error = "a field twice";
     line.remove_prefix(std::min(line.size(), space + 1));
   }
-  HistoryEvent fact;
-  fact.gateway = gateway;
+  HistoryEvent event;
+  event.gateway = gateway;
   auto number = [&](std::string_view key, auto* value, bool needed) {
     auto found = fields.find(key);
-    if (found == fields.end() ? needed : !Read(found->second, value))
-      *fault = std::string(key) + " is missing or no number";
+    if (found == fields.end() ? needed : !ParseNumber(found->second, value))
+      *error = std::string(key) + " is missing or no number";
   };
-  number("at_us", &fact.at, true);
-  number("pid", &fact.process, true);
-  number("amount", &fact.amount, false), number("rate", &fact.rate, false);
-  number("until_us", &fact.until, false);
-  if (!std::isfinite(fact.amount) || !std::isfinite(fact.rate)) *fault = "a number is not finite";
-  fact.subject = fields["subject"];
-  auto name = std::find_if(kNames.begin(), kNames.end(), [&](const char* n) { return fields["what"] == n; });
-  if (name == kNames.end() ||
-      static_cast<size_t>(name - kNames.begin()) < static_cast<size_t>(HistoryEventKind::kBudgetUsed)) {
-    *fault = "what is nothing that a gateway says";
+  number("at_us", &event.at, true);
+  number("pid", &event.process, true);
+  number("amount", &event.amount, false), number("rate", &event.rate, false);
+  number("until_us", &event.until, false);
+  if (!std::isfinite(event.amount) || !std::isfinite(event.rate)) *error = "a number is not finite";
+  event.subject = fields["subject"];
+  auto name =
+      std::find_if(kKindNames.begin(), kKindNames.end(), [&](const char* n) { return fields["what"] == n; });
+  if (name == kKindNames.end() ||
+      static_cast<size_t>(name - kKindNames.begin()) < static_cast<size_t>(HistoryEventKind::kBudgetUsed)) {
+    *error = "what is nothing that a gateway says";
   }
-  if (!fault->empty()) return std::nullopt;
-  fact.kind = static_cast<HistoryEventKind>(name - kNames.begin());
-  fact.at -= clock_at_start;
-  if (fact.until != kNever) fact.until -= clock_at_start;
-  return fact;
+  if (!error->empty()) return std::nullopt;
+  event.kind = static_cast<HistoryEventKind>(name - kKindNames.begin());
+  event.at -= clock_at_start;
+  if (event.until != kNever) event.until -= clock_at_start;
+  return event;
 }
 
 }  // namespace lemonchute::lab
--- a/lab/checker/history.h
+++ b/lab/checker/history.h
@@ -39,7 +39,7 @@
   kVersionStored,   // version `amount` of the subject is on its disk
   kVersionLoaded,   // it goes on from that version of the subject
 };
-const char* Name(HistoryEventKind what);
+const char* Name(HistoryEventKind kind);
 
 struct HistoryEvent {
   Micros at = 0;
@@ -53,22 +53,22 @@
 
 class History {
  public:
-  void Add(HistoryEvent fact) { facts_.push_back(std::move(fact)); }
+  void Add(HistoryEvent event) { events_.push_back(std::move(event)); }
   // Orders what was added; of one moment, in the order in which it was added.
   void Sort();
-  const std::vector<HistoryEvent>& events() const { return facts_; }
+  const std::vector<HistoryEvent>& events() const { return events_; }
   // One line of JSON a fact.
   std::string ToJsonLines() const;
 
  private:
-  std::vector<HistoryEvent> facts_;
+  std::vector<HistoryEvent> events_;
 };
 
 // A line of a gateway's log that speaks to the history: `fleet at_us=N pid=N what=holds subject=cold/s-1
 // amount=2 rate=0 until_us=N`, times by the monotonic clock. None where it is another line; `fault` where it
 // has the word but can't be read.
 std::optional<HistoryEvent> ParseLogEvent(std::string_view line, int gateway, Micros clock_at_start,
-                                          std::string* fault);
+                                          std::string* error);
 
 }  // namespace lemonchute::lab
 
--- a/lab/checker/rules.cpp
+++ b/lab/checker/rules.cpp
@@ -3,11 +3,11 @@
 
 namespace lemonchute::lab {
 
-RuleLimits RuleLimitsOf(const RunSpec& day, Micros end) {
-  RuleLimits bounds;
-  bounds.convergence = FromSeconds(day.converge_s), bounds.datagrams_per_s = day.peer_in_per_s,
-  bounds.end = end;
-  return bounds;
+RuleLimits RuleLimitsOf(const RunSpec& spec, Micros end) {
+  RuleLimits limits;
+  limits.convergence = FromSeconds(spec.converge_s), limits.datagrams_per_s = spec.peer_in_per_s,
+  limits.end = end;
+  return limits;
 }
 
 const std::vector<NamedRule>& FleetRules() {
@@ -25,14 +25,14 @@
   return rules;
 }
 
-std::vector<FleetViolation> CheckFleet(const History& history, const RuleLimits& bounds) {
+std::vector<FleetViolation> CheckFleet(const History& history, const RuleLimits& limits) {
   std::vector<FleetViolation> all;
   for (const NamedRule& rule : FleetRules()) {
-    std::vector<FleetViolation> found = rule.rule(history, bounds);
-    if (found.size() > kMaxViolationsPerRule) found.resize(kMaxViolationsPerRule);
-    for (FleetViolation& finding : found) {
-      finding.rule = rule.name;
-      all.push_back(std::move(finding));
+    std::vector<FleetViolation> violations = rule.rule(history, limits);
+    if (violations.size() > kMaxViolationsPerRule) violations.resize(kMaxViolationsPerRule);
+    for (FleetViolation& violation : violations) {
+      violation.rule = rule.name;
+      all.push_back(std::move(violation));
     }
   }
   return all;
--- a/lab/checker/rules.h
+++ b/lab/checker/rules.h
@@ -25,9 +25,9 @@
   Micros end = kNever;  // of the history: what would be due later is not judged
 };
 
-RuleLimits RuleLimitsOf(const RunSpec& day, Micros end);
+RuleLimits RuleLimitsOf(const RunSpec& spec, Micros end);
 
-using FleetRule = std::vector<FleetViolation> (*)(const History& history, const RuleLimits& bounds);
+using FleetRule = std::vector<FleetViolation> (*)(const History& history, const RuleLimits& limits);
 
 std::vector<FleetViolation> CheckBudgetSum(const History&, const RuleLimits&);
 std::vector<FleetViolation> CheckNoUseAfterExpiry(const History&, const RuleLimits&);
@@ -45,7 +45,7 @@
 const std::vector<NamedRule>& FleetRules();
 // All rules over one history; each names at most `kMostFindings`.
 inline constexpr size_t kMaxViolationsPerRule = 20;
-std::vector<FleetViolation> CheckFleet(const History& history, const RuleLimits& bounds);
+std::vector<FleetViolation> CheckFleet(const History& history, const RuleLimits& limits);
 
 }  // namespace lemonchute::lab
 
--- a/lab/checker/rules/answers.cpp
+++ b/lab/checker/rules/answers.cpp
@@ -5,38 +5,38 @@
 
 namespace lemonchute::lab {
 
-std::vector<FleetViolation> CheckSingleAnswer(const History& history, const RuleLimits& bounds) {
+std::vector<FleetViolation> CheckSingleAnswer(const History& history, const RuleLimits& limits) {
   struct Request {
     int gateway = 0;
     Micros due = kNever;
     bool answered = false, excused = false;
   };
   std::map<std::string, Request> requests;
-  std::vector<FleetViolation> found;
-  for (const HistoryEvent& fact : history.events()) {
-    switch (fact.kind) {
+  std::vector<FleetViolation> violations;
+  for (const HistoryEvent& event : history.events()) {
+    switch (event.kind) {
       case HistoryEventKind::kRequestReceived:
-        requests[fact.subject].gateway = fact.gateway, requests[fact.subject].due = fact.until;
+        requests[event.subject].gateway = event.gateway, requests[event.subject].due = event.until;
         break;
       case HistoryEventKind::kRequestAnswered: {
-        auto request = requests.find(fact.subject);
+        auto request = requests.find(event.subject);
         if (request == requests.end() || request->second.due == kNever) {
-          found.push_back(
-              {"", fact.subject + " was answered and never asked", fact.at, kNever, fact.gateway});
+          violations.push_back(
+              {"", event.subject + " was answered and never asked", event.at, kNever, event.gateway});
         } else if (request->second.answered) {
-          found.push_back({"", fact.subject + " was answered twice", fact.at, kNever, fact.gateway});
+          violations.push_back({"", event.subject + " was answered twice", event.at, kNever, event.gateway});
         } else {
           request->second.answered = true;
         }
         break;
       }
       case HistoryEventKind::kClientGone:
-        requests[fact.subject].excused = true;
+        requests[event.subject].excused = true;
         break;  // even before it has arrived
       case HistoryEventKind::kProcessEnded:
       case HistoryEventKind::kProcessPaused:
         for (auto& [subject, request] : requests) {
-          if (request.gateway == fact.gateway && !request.answered && fact.at <= request.due)
+          if (request.gateway == event.gateway && !request.answered && event.at <= request.due)
             request.excused = true;
         }
         break;
@@ -44,10 +44,11 @@
     }
   }
   for (const auto& [subject, request] : requests) {
-    if (request.answered || request.excused || request.due >= bounds.end || request.due == kNever) continue;
-    found.push_back({"", subject + " had no final answer in its time", request.due, kNever, request.gateway});
+    if (request.answered || request.excused || request.due >= limits.end || request.due == kNever) continue;
+    violations.push_back(
+        {"", subject + " had no final answer in its time", request.due, kNever, request.gateway});
   }
-  return found;
+  return violations;
 }
 
 }  // namespace lemonchute::lab
--- a/lab/checker/rules/datagrams.cpp
+++ b/lab/checker/rules/datagrams.cpp
@@ -7,38 +7,39 @@
 
 namespace lemonchute::lab {
 
-std::vector<FleetViolation> CheckDatagramLimits(const History& history, const RuleLimits& bounds) {
+std::vector<FleetViolation> CheckDatagramLimits(const History& history, const RuleLimits& limits) {
   struct Inbox {
-    std::deque<std::pair<Micros, std::string>> heard;
-    Micros named = -kSecond;
+    std::deque<std::pair<Micros, std::string>> received;
+    Micros reported_at = -kSecond;
   };
   std::map<int, Inbox> inboxes;
-  std::vector<FleetViolation> found;
-  for (const HistoryEvent& fact : history.events()) {
-    if (fact.kind == HistoryEventKind::kDatagramSent && fact.amount > bounds.datagram_bytes) {
-      found.push_back({"",
-                       "gateway " + std::to_string(fact.gateway) + " sent a datagram of " +
-                           std::to_string(static_cast<int>(fact.amount)) + " bytes to " + fact.subject,
-                       fact.at, kNever, fact.gateway});
+  std::vector<FleetViolation> violations;
+  for (const HistoryEvent& event : history.events()) {
+    if (event.kind == HistoryEventKind::kDatagramSent && event.amount > limits.datagram_bytes) {
+      violations.push_back({"",
+                            "gateway " + std::to_string(event.gateway) + " sent a datagram of " +
+                                std::to_string(static_cast<int>(event.amount)) + " bytes to " + event.subject,
+                            event.at, kNever, event.gateway});
     }
-    if (fact.kind != HistoryEventKind::kDatagramReceived) continue;
-    Inbox& inbox = inboxes[fact.gateway];
-    inbox.heard.emplace_back(fact.at, fact.subject);
-    while (inbox.heard.front().first + kSecond <= fact.at) inbox.heard.pop_front();
-    if (static_cast<double>(inbox.heard.size()) <= bounds.datagrams_per_s || inbox.named + kSecond > fact.at)
+    if (event.kind != HistoryEventKind::kDatagramReceived) continue;
+    Inbox& inbox = inboxes[event.gateway];
+    inbox.received.emplace_back(event.at, event.subject);
+    while (inbox.received.front().first + kSecond <= event.at) inbox.received.pop_front();
+    if (static_cast<double>(inbox.received.size()) <= limits.datagrams_per_s ||
+        inbox.reported_at + kSecond > event.at)
       continue;
-    inbox.named = fact.at;
-    std::map<std::string, int> by;
-    for (const auto& [at, sender] : inbox.heard) ++by[sender];
-    auto most = std::max_element(by.begin(), by.end(),
-                                 [](const auto& a, const auto& b) { return a.second < b.second; });
-    found.push_back({"",
-                     "gateway " + std::to_string(fact.gateway) + " was sent " +
-                         std::to_string(inbox.heard.size()) + " datagrams in a second, " +
-                         std::to_string(most->second) + " of them by " + most->first,
-                     fact.at, kNever, fact.gateway});
+    inbox.reported_at = event.at;
+    std::map<std::string, int> count_by_sender;
+    for (const auto& [at, sender] : inbox.received) ++count_by_sender[sender];
+    auto top_sender = std::max_element(count_by_sender.begin(), count_by_sender.end(),
+                                       [](const auto& a, const auto& b) { return a.second < b.second; });
+    violations.push_back({"",
+                          "gateway " + std::to_string(event.gateway) + " was sent " +
+                              std::to_string(inbox.received.size()) + " datagrams in a second, " +
+                              std::to_string(top_sender->second) + " of them by " + top_sender->first,
+                          event.at, kNever, event.gateway});
   }
-  return found;
+  return violations;
 }
 
 }  // namespace lemonchute::lab
--- a/lab/checker/rules/expired.cpp
+++ b/lab/checker/rules/expired.cpp
@@ -8,44 +8,44 @@
 namespace lemonchute::lab {
 
 std::vector<FleetViolation> CheckNoUseAfterExpiry(const History& history, const RuleLimits&) {
-  struct Hold {
+  struct Share {
     Micros until = kNever;
     bool revoked = false;
   };
   using Key = std::tuple<int, int64_t, std::string>;
-  std::map<Key, Hold> holds;
-  std::set<std::string> divided;  // what is held by anyone at all: other uses need no part
-  for (const HistoryEvent& fact : history.events()) {
-    if (fact.kind == HistoryEventKind::kShareHeld) divided.insert(fact.subject);
+  std::map<Key, Share> shares;
+  std::set<std::string> shared_budgets;  // what is held by anyone at all: other uses need no part
+  for (const HistoryEvent& event : history.events()) {
+    if (event.kind == HistoryEventKind::kShareHeld) shared_budgets.insert(event.subject);
   }
-  std::vector<FleetViolation> found;
-  for (const HistoryEvent& fact : history.events()) {
-    Key key{fact.gateway, fact.process, fact.subject};
-    switch (fact.kind) {
-      case HistoryEventKind::kShareHeld: holds[key] = {fact.until, false}; break;
-      case HistoryEventKind::kShareRevoked: holds[key].revoked = true; break;
-      case HistoryEventKind::kShareReleased: holds.erase(key); break;
+  std::vector<FleetViolation> violations;
+  for (const HistoryEvent& event : history.events()) {
+    Key key{event.gateway, event.process, event.subject};
+    switch (event.kind) {
+      case HistoryEventKind::kShareHeld: shares[key] = {event.until, false}; break;
+      case HistoryEventKind::kShareRevoked: shares[key].revoked = true; break;
+      case HistoryEventKind::kShareReleased: shares.erase(key); break;
       case HistoryEventKind::kBudgetUsed: {
-        if (divided.count(fact.subject) == 0) break;
-        auto hold = holds.find(key);
-        if (hold == holds.end()) {
-          found.push_back(
-              {"", fact.subject + " was used without a part of it", fact.at, kNever, fact.gateway});
-        } else if (hold->second.revoked) {
-          found.push_back(
-              {"", fact.subject + " was used after it had been taken back", fact.at, kNever, fact.gateway});
-        } else if (fact.at > hold->second.until) {
-          Micros late = fact.at - hold->second.until;
-          found.push_back({"",
-                           fact.subject + " was used " + std::to_string(late / 1000) + " ms after it ran out",
-                           fact.at, late, fact.gateway});
+        if (shared_budgets.count(event.subject) == 0) break;
+        auto share = shares.find(key);
+        if (share == shares.end()) {
+          violations.push_back(
+              {"", event.subject + " was used without a part of it", event.at, kNever, event.gateway});
+        } else if (share->second.revoked) {
+          violations.push_back({"", event.subject + " was used after it had been taken back", event.at,
+                                kNever, event.gateway});
+        } else if (event.at > share->second.until) {
+          Micros late = event.at - share->second.until;
+          violations.push_back(
+              {"", event.subject + " was used " + std::to_string(late / 1000) + " ms after it ran out",
+               event.at, late, event.gateway});
         }
         break;
       }
       default: break;
     }
   }
-  return found;
+  return violations;
 }
 
 }  // namespace lemonchute::lab
--- a/lab/checker/rules/memory.cpp
+++ b/lab/checker/rules/memory.cpp
@@ -8,18 +8,18 @@
 
 std::vector<FleetViolation> CheckNewestVersionLoaded(const History& history, const RuleLimits&) {
   std::map<std::pair<int, std::string>, double> newest;
-  std::vector<FleetViolation> found;
-  for (const HistoryEvent& fact : history.events()) {
-    double& kept = newest[{fact.gateway, fact.subject}];
-    if (fact.kind == HistoryEventKind::kVersionStored) kept = std::max(kept, fact.amount);
-    if (fact.kind != HistoryEventKind::kVersionLoaded || fact.amount == 0 || fact.amount == kept) continue;
+  std::vector<FleetViolation> violations;
+  for (const HistoryEvent& event : history.events()) {
+    double& kept = newest[{event.gateway, event.subject}];
+    if (event.kind == HistoryEventKind::kVersionStored) kept = std::max(kept, event.amount);
+    if (event.kind != HistoryEventKind::kVersionLoaded || event.amount == 0 || event.amount == kept) continue;
     auto version = [](double amount) { return std::to_string(static_cast<int64_t>(amount)); };
-    found.push_back({"",
-                     fact.subject + ": goes on from version " + version(fact.amount) +
-                         ", the newest kept is " + version(kept),
-                     fact.at, kNever, fact.gateway});
+    violations.push_back({"",
+                          event.subject + ": goes on from version " + version(event.amount) +
+                              ", the newest kept is " + version(kept),
+                          event.at, kNever, event.gateway});
   }
-  return found;
+  return violations;
 }
 
 }  // namespace lemonchute::lab
--- a/lab/checker/rules/owner.cpp
+++ b/lab/checker/rules/owner.cpp
@@ -6,7 +6,7 @@
 
 namespace lemonchute::lab {
 
-std::vector<FleetViolation> CheckSingleOwner(const History& history, const RuleLimits& bounds) {
+std::vector<FleetViolation> CheckSingleOwner(const History& history, const RuleLimits& limits) {
   struct Term {
     int gateway = 0;
     int64_t process = 0;
@@ -14,24 +14,24 @@
     bool endless = false;
   };
   std::map<std::string, std::vector<Term>> terms;
-  auto close = [](std::vector<Term>& all, const HistoryEvent& fact, bool endless_only) {
+  auto end_terms = [](std::vector<Term>& all, const HistoryEvent& event, bool endless_only) {
     for (Term& term : all) {
-      if (term.gateway == fact.gateway && term.process == fact.process && (!endless_only || term.endless))
-        term.to = std::min(term.to, fact.at);
+      if (term.gateway == event.gateway && term.process == event.process && (!endless_only || term.endless))
+        term.to = std::min(term.to, event.at);
     }
   };
-  for (const HistoryEvent& fact : history.events()) {
-    if (fact.kind == HistoryEventKind::kOwnershipHeld || fact.kind == HistoryEventKind::kOwnershipReleased)
-      close(terms[fact.subject], fact, false);
-    if (fact.kind == HistoryEventKind::kOwnershipHeld) {
-      terms[fact.subject].push_back(
-          {fact.gateway, fact.process, fact.at, std::min(fact.until, bounds.end), fact.until == kNever});
+  for (const HistoryEvent& event : history.events()) {
+    if (event.kind == HistoryEventKind::kOwnershipHeld || event.kind == HistoryEventKind::kOwnershipReleased)
+      end_terms(terms[event.subject], event, false);
+    if (event.kind == HistoryEventKind::kOwnershipHeld) {
+      terms[event.subject].push_back(
+          {event.gateway, event.process, event.at, std::min(event.until, limits.end), event.until == kNever});
     }
-    if (fact.kind == HistoryEventKind::kProcessEnded) {
-      for (auto& [subject, all] : terms) close(all, fact, true);
+    if (event.kind == HistoryEventKind::kProcessEnded) {
+      for (auto& [subject, all] : terms) end_terms(all, event, true);
     }
   }
-  std::vector<FleetViolation> found;
+  std::vector<FleetViolation> violations;
   for (const auto& [subject, all] : terms) {
     for (size_t i = 1; i < all.size(); ++i) {
       const Term& b = all[i];
@@ -40,16 +40,16 @@
         Micros from = std::max(a.from, b.from), to = std::min(a.to, b.to);
         bool same = a.gateway == b.gateway && a.process == b.process;
         if (same || to <= from) continue;
-        found.push_back({"",
-                         subject + " has two owners: gateways " + std::to_string(a.gateway) + " and " +
-                             std::to_string(b.gateway),
-                         from, to == kNever ? kNever : to - from, b.gateway});
+        violations.push_back({"",
+                              subject + " has two owners: gateways " + std::to_string(a.gateway) + " and " +
+                                  std::to_string(b.gateway),
+                              from, to == kNever ? kNever : to - from, b.gateway});
       }
     }
   }
-  std::stable_sort(found.begin(), found.end(),
+  std::stable_sort(violations.begin(), violations.end(),
                    [](const FleetViolation& a, const FleetViolation& b) { return a.at < b.at; });
-  return found;
+  return violations;
 }
 
 }  // namespace lemonchute::lab
--- a/lab/checker/rules/sum.cpp
+++ b/lab/checker/rules/sum.cpp
@@ -8,7 +8,7 @@
 namespace lemonchute::lab {
 namespace {
 
-constexpr double kRounding = 1e-9;  // of the whole: sums of parts in floating point
+constexpr double kRelativeTolerance = 1e-9;  // of the whole: sums of parts in floating point
 
 struct Part {
   double amount = 0;
@@ -16,131 +16,135 @@
 };
 
 struct Budget {
-  double whole = -1, rate = 0, level = 0;
-  Micros level_at = 0, over_since = kNever;
-  double worst = 0;
+  double total = -1, rate = 0, tokens = 0;
+  Micros updated_at = 0, exceeded_since = kNever;
+  double peak = 0;
   std::map<std::pair<int, int64_t>, Part> parts;
 
   double Sum(Micros at) const {
     double sum = 0;
-    for (const auto& [who, part] : parts) sum += part.until > at ? part.amount : 0;
+    for (const auto& [process, part] : parts) sum += part.until > at ? part.amount : 0;
     return sum;
   }
 };
 
-std::string Text(double value) {
+std::string FormatNumber(double value) {
   char text[32];
   std::snprintf(text, sizeof(text), "%.6g", value);
   return text;
 }
 
-class Sums {
+class BudgetTracker {
  public:
-  void Take(const HistoryEvent& fact) {
-    bool speaks =
-        fact.kind == HistoryEventKind::kBudgetDefined || fact.kind == HistoryEventKind::kShareHeld ||
-        fact.kind == HistoryEventKind::kShareReleased || fact.kind == HistoryEventKind::kShareRevoked ||
-        fact.kind == HistoryEventKind::kBudgetUsed || fact.kind == HistoryEventKind::kProcessEnded;
-    if (!speaks) return;
+  void Process(const HistoryEvent& event) {
+    bool relevant =
+        event.kind == HistoryEventKind::kBudgetDefined || event.kind == HistoryEventKind::kShareHeld ||
+        event.kind == HistoryEventKind::kShareReleased || event.kind == HistoryEventKind::kShareRevoked ||
+        event.kind == HistoryEventKind::kBudgetUsed || event.kind == HistoryEventKind::kProcessEnded;
+    if (!relevant) return;
     // Parts that ran out before now may have ended an excess.
-    for (auto& [name, budget] : budgets_) Look(name, &budget, fact.at);
-    std::pair<int, int64_t> who{fact.gateway, fact.process};
-    switch (fact.kind) {
+    for (auto& [name, budget] : budgets_) UpdateExcess(name, &budget, event.at);
+    std::pair<int, int64_t> process{event.gateway, event.process};
+    switch (event.kind) {
       case HistoryEventKind::kBudgetDefined: {
-        Budget& budget = budgets_[fact.subject];
-        if (budget.whole < 0) budget.level = fact.amount, budget.level_at = fact.at;
-        budget.whole = fact.amount, budget.rate = fact.rate;
+        Budget& budget = budgets_[event.subject];
+        if (budget.total < 0) budget.tokens = event.amount, budget.updated_at = event.at;
+        budget.total = event.amount, budget.rate = event.rate;
         break;
       }
-      case HistoryEventKind::kShareHeld: budgets_[fact.subject].parts[who] = {fact.amount, fact.until}; break;
+      case HistoryEventKind::kShareHeld:
+        budgets_[event.subject].parts[process] = {event.amount, event.until};
+        break;
       case HistoryEventKind::kShareReleased:
-      case HistoryEventKind::kShareRevoked: budgets_[fact.subject].parts.erase(who); break;
-      case HistoryEventKind::kBudgetUsed: Use(fact); break;
+      case HistoryEventKind::kShareRevoked: budgets_[event.subject].parts.erase(process); break;
+      case HistoryEventKind::kBudgetUsed: CheckUse(event); break;
       case HistoryEventKind::kProcessEnded:
         for (auto& [name, budget] : budgets_) {
-          auto part = budget.parts.find(who);
+          auto part = budget.parts.find(process);
           if (part != budget.parts.end() && part->second.until == kNever) budget.parts.erase(part);
         }
         break;
       default: return;
     }
-    for (auto& [name, budget] : budgets_) Look(name, &budget, fact.at);
+    for (auto& [name, budget] : budgets_) UpdateExcess(name, &budget, event.at);
   }
 
-  std::vector<FleetViolation> End(Micros at) {
+  std::vector<FleetViolation> Finish(Micros at) {
     for (auto& [name, budget] : budgets_) {
-      Look(name, &budget, at);
-      if (budget.over_since != kNever) Name(name, &budget, at);
+      UpdateExcess(name, &budget, at);
+      if (budget.exceeded_since != kNever) ReportExcess(name, &budget, at);
     }
-    return std::move(found_);
+    return std::move(violations_);
   }
 
  private:
   // Over every window at once: a store of the burst that fills at the rate never falls below nothing.
-  void Use(const HistoryEvent& fact) {
-    Budget& budget = budgets_[fact.subject];
-    if (budget.whole < 0 || budget.rate <= 0) return;
-    budget.level = std::min(budget.whole, budget.level + budget.rate * ToSeconds(fact.at - budget.level_at));
-    budget.level_at = fact.at;
-    budget.level -= fact.amount;
-    if (budget.level >= -kRounding * budget.whole) return;
-    found_.push_back({"",
-                      fact.subject + ": used " + Text(-budget.level) + " beyond a burst of " +
-                          Text(budget.whole) + " at " + Text(budget.rate) + " a second",
-                      fact.at, kNever, fact.gateway});
-    budget.level = 0;  // each excess is named once
+  void CheckUse(const HistoryEvent& event) {
+    Budget& budget = budgets_[event.subject];
+    if (budget.total < 0 || budget.rate <= 0) return;
+    budget.tokens =
+        std::min(budget.total, budget.tokens + budget.rate * ToSeconds(event.at - budget.updated_at));
+    budget.updated_at = event.at;
+    budget.tokens -= event.amount;
+    if (budget.tokens >= -kRelativeTolerance * budget.total) return;
+    violations_.push_back({"",
+                           event.subject + ": used " + FormatNumber(-budget.tokens) + " beyond a burst of " +
+                               FormatNumber(budget.total) + " at " + FormatNumber(budget.rate) + " a second",
+                           event.at, kNever, event.gateway});
+    budget.tokens = 0;  // each excess is named once
   }
 
-  void Look(const std::string& name, Budget* budget, Micros at) {
-    if (budget->whole < 0) return;
-    if (budget->over_since != kNever) {
+  void UpdateExcess(const std::string& name, Budget* budget, Micros at) {
+    if (budget->total < 0) return;
+    if (budget->exceeded_since != kNever) {
       // It ended where enough of the parts had run out.
-      Micros back = at;
-      std::vector<Micros> ends;
-      for (const auto& [who, part] : budget->parts) {
-        if (part.until <= at && part.until > budget->over_since) ends.push_back(part.until);
+      Micros recovered_at = at;
+      std::vector<Micros> expiries;
+      for (const auto& [process, part] : budget->parts) {
+        if (part.until <= at && part.until > budget->exceeded_since) expiries.push_back(part.until);
       }
-      std::sort(ends.begin(), ends.end());
-      for (Micros end : ends) {
-        if (!Over(*budget, end)) {
-          back = end;
+      std::sort(expiries.begin(), expiries.end());
+      for (Micros end : expiries) {
+        if (!Exceeded(*budget, end)) {
+          recovered_at = end;
           break;
         }
       }
-      budget->worst = std::max(budget->worst, budget->Sum(at));
-      if (!Over(*budget, at) || back < at) Name(name, budget, back);
+      budget->peak = std::max(budget->peak, budget->Sum(at));
+      if (!Exceeded(*budget, at) || recovered_at < at) ReportExcess(name, budget, recovered_at);
     }
-    if (budget->over_since == kNever && Over(*budget, at))
-      budget->over_since = at, budget->worst = budget->Sum(at);
+    if (budget->exceeded_since == kNever && Exceeded(*budget, at))
+      budget->exceeded_since = at, budget->peak = budget->Sum(at);
   }
 
-  static bool Over(const Budget& budget, Micros at) {
-    return budget.Sum(at) > budget.whole * (1 + kRounding);
+  static bool Exceeded(const Budget& budget, Micros at) {
+    return budget.Sum(at) > budget.total * (1 + kRelativeTolerance);
   }
 
-  void Name(const std::string& name, Budget* budget, Micros to) {
-    if (to > budget->over_since) {
-      found_.push_back({"",
-                        name + ": all together may use " + Text(budget->worst) + " of " + Text(budget->whole),
-                        budget->over_since, to - budget->over_since, -1});
+  void ReportExcess(const std::string& name, Budget* budget, Micros to) {
+    if (to > budget->exceeded_since) {
+      violations_.push_back({"",
+                             name + ": all together may use " + FormatNumber(budget->peak) + " of " +
+                                 FormatNumber(budget->total),
+                             budget->exceeded_since, to - budget->exceeded_since, -1});
     }
-    budget->over_since = kNever, budget->worst = 0;
+    budget->exceeded_since = kNever, budget->peak = 0;
   }
 
   std::map<std::string, Budget> budgets_;
-  std::vector<FleetViolation> found_;
+  std::vector<FleetViolation> violations_;
 };
 
 }  // namespace
 
-std::vector<FleetViolation> CheckBudgetSum(const History& history, const RuleLimits& bounds) {
-  Sums sums;
+std::vector<FleetViolation> CheckBudgetSum(const History& history, const RuleLimits& limits) {
+  BudgetTracker tracker;
   Micros last = 0;
-  for (const HistoryEvent& fact : history.events()) {
-    sums.Take(fact);
-    last = fact.at;
+  for (const HistoryEvent& event : history.events()) {
+    tracker.Process(event);
+    last = event.at;
   }
-  return sums.End(bounds.end == kNever ? last : std::max(last, bounds.end));
+  return tracker.Finish(limits.end == kNever ? last : std::max(last, limits.end));
 }
 
 }  // namespace lemonchute::lab
--- a/lab/checker/rules/views.cpp
+++ b/lab/checker/rules/views.cpp
@@ -5,68 +5,69 @@
 
 namespace lemonchute::lab {
 
-std::vector<FleetViolation> CheckViewsConverge(const History& history, const RuleLimits& bounds) {
-  using Who = std::pair<int, int64_t>;
-  std::map<Who, std::string> views;  // of those that live
-  std::map<Who, bool> stopped;
+std::vector<FleetViolation> CheckViewsConverge(const History& history, const RuleLimits& limits) {
+  using Process = std::pair<int, int64_t>;
+  std::map<Process, std::string> views;  // of those that live
+  std::map<Process, bool> stopped;
   Micros last_fault = 0, last = 0, differ_since = kNever;
-  std::vector<FleetViolation> found;
-  auto agree = [&] {
+  std::vector<FleetViolation> violations;
+  auto views_agree = [&] {
     const std::string* first = nullptr;
-    for (const auto& [who, view] : views) {
-      if (stopped[who]) continue;
+    for (const auto& [process, view] : views) {
+      if (stopped[process]) continue;
       if (first == nullptr) first = &view;
       if (view != *first) return false;
     }
     return true;
   };
   // Names what went on differing past the bound, up to `at`.
-  auto look = [&](Micros at) {
+  auto check_bound = [&](Micros at) {
     if (differ_since == kNever) return;
-    Micros due = std::max(differ_since, last_fault) + bounds.convergence;
-    if (at <= due) return;
-    std::string said;
-    for (const auto& [who, view] : views)
-      said += (said.empty() ? "" : ", ") + std::to_string(who.first) + " says " + view.substr(0, 40);
-    found.push_back({"", "views differ past the bound: " + said, due, at - due, -1});
+    Micros deadline = std::max(differ_since, last_fault) + limits.convergence;
+    if (at <= deadline) return;
+    std::string view_list;
+    for (const auto& [process, view] : views)
+      view_list +=
+          (view_list.empty() ? "" : ", ") + std::to_string(process.first) + " says " + view.substr(0, 40);
+    violations.push_back({"", "views differ past the bound: " + view_list, deadline, at - deadline, -1});
     differ_since = at;  // named once for each stretch of the bound
   };
-  for (const HistoryEvent& fact : history.events()) {
-    Who who{fact.gateway, fact.process};
-    bool fault = false;
-    switch (fact.kind) {
+  for (const HistoryEvent& event : history.events()) {
+    Process process{event.gateway, event.process};
+    bool disturbance = false;
+    switch (event.kind) {
       case HistoryEventKind::kMembershipView:
       case HistoryEventKind::kProcessStarted:
       case HistoryEventKind::kProcessEnded:
       case HistoryEventKind::kProcessPaused:
       case HistoryEventKind::kProcessResumed:
       case HistoryEventKind::kFaultBegan:
-      case HistoryEventKind::kFaultEnded: look(fact.at); break;
+      case HistoryEventKind::kFaultEnded: check_bound(event.at); break;
       default: continue;
     }
-    switch (fact.kind) {
+    switch (event.kind) {
       case HistoryEventKind::kMembershipView:
-        if (fact.subject == "none") {
-          views.erase(who);
+        if (event.subject == "none") {
+          views.erase(process);
         } else {
-          views[who] = fact.subject;
+          views[process] = event.subject;
         }
         break;
-      case HistoryEventKind::kProcessEnded: views.erase(who); [[fallthrough]];
-      case HistoryEventKind::kProcessStarted: fault = true; break;
-      case HistoryEventKind::kProcessPaused: stopped[who] = fault = true; break;
-      case HistoryEventKind::kProcessResumed: stopped[who] = false, fault = true; break;
-      default: fault = true; break;
+      case HistoryEventKind::kProcessEnded: views.erase(process); [[fallthrough]];
+      case HistoryEventKind::kProcessStarted: disturbance = true; break;
+      case HistoryEventKind::kProcessPaused: stopped[process] = disturbance = true; break;
+      case HistoryEventKind::kProcessResumed: stopped[process] = false, disturbance = true; break;
+      default: disturbance = true; break;
     }
-    if (fault) last_fault = fact.at;
-    last = fact.at;
-    if (agree())
+    if (disturbance) last_fault = event.at;
+    last = event.at;
+    if (views_agree())
       differ_since = kNever;
     else if (differ_since == kNever)
-      differ_since = fact.at;
+      differ_since = event.at;
   }
-  look(bounds.end == kNever ? last : bounds.end);
-  return found;
+  check_bound(limits.end == kNever ? last : limits.end);
+  return violations;
 }
 
 }  // namespace lemonchute::lab
--- a/lab/checker/timeline.cpp
+++ b/lab/checker/timeline.cpp
@@ -9,41 +9,41 @@
 namespace lemonchute::lab {
 namespace {
 
-constexpr size_t kMost = 4000;
+constexpr size_t kMaxPoints = 4000;
 
-std::string Numbers(const std::vector<int>& numbers) {
+std::string FormatNumbers(const std::vector<int>& numbers) {
   std::string text;
   for (int n : numbers) text.append(text.empty() ? "" : ",").append(std::to_string(n));
   return text.empty() ? "all" : text;
 }
 
 std::string PathName(const PathFault& fault) {
-  static const char* const kHarms[] = {"cut",   "black hole", "resets",     "trickle",
-                                       "delay", "loss",       "duplicates", "reordering"};
-  static const char* const kFar[] = {"gateways", "counter", "discovery", "backends"};
-  static const char* const kWays[] = {" - ", " > ", " < "};
-  std::string text = kHarms[static_cast<size_t>(fault.kind)];
+  static const char* const kKindNames[] = {"cut",   "black hole", "resets",     "trickle",
+                                           "delay", "loss",       "duplicates", "reordering"};
+  static const char* const kRemoteNames[] = {"gateways", "counter", "discovery", "backends"};
+  static const char* const kDirectionSigns[] = {" - ", " > ", " < "};
+  std::string text = kKindNames[static_cast<size_t>(fault.kind)];
   text.append(" gateways ")
-      .append(Numbers(fault.gateways))
-      .append(kWays[static_cast<size_t>(fault.direction)]);
-  text.append(kFar[static_cast<size_t>(fault.remote)]);
+      .append(FormatNumbers(fault.gateways))
+      .append(kDirectionSigns[static_cast<size_t>(fault.direction)]);
+  text.append(kRemoteNames[static_cast<size_t>(fault.remote)]);
   if (fault.remote == RemoteParty::kGateways || fault.remote == RemoteParty::kBackends)
-    text.append(" ").append(Numbers(fault.others));
+    text.append(" ").append(FormatNumbers(fault.others));
   return text;
 }
 
 }  // namespace
 
-void RecordSiteEvent(const RunSpec& day, const SiteEvent& incident, History* history) {
+void RecordSiteEvent(const RunSpec& spec, const SiteEvent& event, History* history) {
   auto add = [&](bool begins, const std::string& subject) {
-    history->Add({incident.at, begins ? HistoryEventKind::kFaultBegan : HistoryEventKind::kFaultEnded, -1, 0,
+    history->Add({event.at, begins ? HistoryEventKind::kFaultBegan : HistoryEventKind::kFaultEnded, -1, 0,
                   subject, 0, 0, kNever});
   };
-  bool on = incident.size > 0;
-  const std::string targets = Numbers(incident.targets);
-  switch (incident.kind) {
+  bool on = event.size > 0;
+  const std::string targets = FormatNumbers(event.targets);
+  switch (event.kind) {
     case SiteEventKind::kPathFault:
-      for (int t : incident.targets) add(on, PathName(day.path_faults[static_cast<size_t>(t)]));
+      for (int t : event.targets) add(on, PathName(spec.path_faults[static_cast<size_t>(t)]));
       break;
     case SiteEventKind::kZoneCut: add(on, std::string("zone ").append(targets).append(" cut off")); break;
     case SiteEventKind::kStarveGateway:
@@ -51,18 +51,18 @@
       break;
     case SiteEventKind::kStopBackend:
     case SiteEventKind::kStartBackend:
-      add(incident.kind == SiteEventKind::kStopBackend,
+      add(event.kind == SiteEventKind::kStopBackend,
           std::string("backends ").append(targets).append(" down"));
       break;
     case SiteEventKind::kCounterDown:
     case SiteEventKind::kCounterLoses:
     case SiteEventKind::kDiscoverySilent:
     case SiteEventKind::kDiscoveryRefuses:
-    case SiteEventKind::kAttemptResets: add(on, Name(incident.kind)); break;
+    case SiteEventKind::kAttemptResets: add(on, Name(event.kind)); break;
     case SiteEventKind::kBackendErrors:
     case SiteEventKind::kBackendSlow:
     case SiteEventKind::kBackendSilent:
-      add(on, std::string(Name(incident.kind)).append(" ").append(targets));
+      add(on, std::string(Name(event.kind)).append(" ").append(targets));
       break;
     default: break;
   }
@@ -70,62 +70,65 @@
 
 nlohmann::json BuildTimeline(const History& history, Micros end) {
   using nlohmann::json;
-  json lanes = json::array(), faults = json::array(), sums = json::object();
-  std::map<std::pair<int, int64_t>, Micros> up, stopped;
-  std::map<std::string, Micros> wrong;
-  struct Held {
-    std::map<std::pair<int, int64_t>, std::pair<double, Micros>> parts;
+  json lanes = json::array(), faults = json::array(), budgets = json::object();
+  std::map<std::pair<int, int64_t>, Micros> running, stopped;
+  std::map<std::string, Micros> open_faults;
+  struct HeldShares {
+    std::map<std::pair<int, int64_t>, std::pair<double, Micros>> shares;
   };
-  std::map<std::string, Held> held;
+  std::map<std::string, HeldShares> held_budgets;
   size_t points = 0;
-  auto stretch = [&](json* to, const std::string& name, const char* state, Micros from, Micros until) {
-    if (++points <= kMost)
+  auto add_interval = [&](json* to, const std::string& name, const char* state, Micros from, Micros until) {
+    if (++points <= kMaxPoints)
       to->push_back(
           {{"name", name}, {"state", state}, {"from_s", ToSeconds(from)}, {"to_s", ToSeconds(until)}});
   };
-  auto close = [&](auto* open, std::pair<int, int64_t> who, const char* state, Micros at) {
-    auto found = open->find(who);
+  auto close_interval = [&](auto* open, std::pair<int, int64_t> process, const char* state, Micros at) {
+    auto found = open->find(process);
     if (found == open->end()) return;
-    stretch(&lanes, GatewayName(who.first), state, found->second, at);
+    add_interval(&lanes, GatewayName(process.first), state, found->second, at);
     open->erase(found);
   };
-  for (const HistoryEvent& f : history.events()) {
-    std::pair<int, int64_t> who{f.gateway, f.process};
-    switch (f.kind) {
-      case HistoryEventKind::kProcessStarted: up[who] = f.at; break;
+  for (const HistoryEvent& entry : history.events()) {
+    std::pair<int, int64_t> process{entry.gateway, entry.process};
+    switch (entry.kind) {
+      case HistoryEventKind::kProcessStarted: running[process] = entry.at; break;
       case HistoryEventKind::kProcessEnded:
-        close(&stopped, who, "stopped", f.at), close(&up, who, "runs", f.at);
+        close_interval(&stopped, process, "stopped", entry.at),
+            close_interval(&running, process, "runs", entry.at);
         break;
-      case HistoryEventKind::kProcessPaused: stopped[who] = f.at; break;
-      case HistoryEventKind::kProcessResumed: close(&stopped, who, "stopped", f.at); break;
-      case HistoryEventKind::kFaultBegan: wrong.emplace(f.subject, f.at); break;
+      case HistoryEventKind::kProcessPaused: stopped[process] = entry.at; break;
+      case HistoryEventKind::kProcessResumed: close_interval(&stopped, process, "stopped", entry.at); break;
+      case HistoryEventKind::kFaultBegan: open_faults.emplace(entry.subject, entry.at); break;
       case HistoryEventKind::kFaultEnded:
-        if (auto found = wrong.find(f.subject); found != wrong.end()) {
-          stretch(&faults, f.subject, "", found->second, f.at);
-          wrong.erase(found);
+        if (auto found = open_faults.find(entry.subject); found != open_faults.end()) {
+          add_interval(&faults, entry.subject, "", found->second, entry.at);
+          open_faults.erase(found);
         }
         break;
-      case HistoryEventKind::kBudgetDefined: sums[f.subject]["whole"] = f.amount; break;
+      case HistoryEventKind::kBudgetDefined: budgets[entry.subject]["whole"] = entry.amount; break;
       case HistoryEventKind::kShareHeld:
       case HistoryEventKind::kShareReleased:
       case HistoryEventKind::kShareRevoked: {
-        Held& all = held[f.subject];
-        if (f.kind == HistoryEventKind::kShareHeld)
-          all.parts[who] = {f.amount, f.until};
+        HeldShares& holders = held_budgets[entry.subject];
+        if (entry.kind == HistoryEventKind::kShareHeld)
+          holders.shares[process] = {entry.amount, entry.until};
         else
-          all.parts.erase(who);
+          holders.shares.erase(process);
         double sum = 0;
-        for (const auto& [holder, part] : all.parts) sum += part.second > f.at ? part.first : 0;
-        if (++points <= kMost) sums[f.subject]["points"].push_back({ToSeconds(f.at), sum});
+        for (const auto& [holder, share] : holders.shares) sum += share.second > entry.at ? share.first : 0;
+        if (++points <= kMaxPoints) budgets[entry.subject]["points"].push_back({ToSeconds(entry.at), sum});
         break;
       }
       default: break;
     }
   }
-  for (const auto& [who, since] : up) stretch(&lanes, GatewayName(who.first), "runs", since, end);
-  for (const auto& [who, since] : stopped) stretch(&lanes, GatewayName(who.first), "stopped", since, end);
-  for (const auto& [subject, since] : wrong) stretch(&faults, subject, "", since, end);
-  return {{"lanes", lanes}, {"faults", faults}, {"sums", sums}, {"cut_short", points > kMost}};
+  for (const auto& [process, since] : running)
+    add_interval(&lanes, GatewayName(process.first), "runs", since, end);
+  for (const auto& [process, since] : stopped)
+    add_interval(&lanes, GatewayName(process.first), "stopped", since, end);
+  for (const auto& [subject, since] : open_faults) add_interval(&faults, subject, "", since, end);
+  return {{"lanes", lanes}, {"faults", faults}, {"sums", budgets}, {"cut_short", points > kMaxPoints}};
 }
 
 }  // namespace lemonchute::lab
--- a/lab/checker/timeline.h
+++ b/lab/checker/timeline.h
@@ -10,7 +10,7 @@
 namespace lemonchute::lab {
 
 // Of an incident that the fleet has to bear; starts, ends and stops are told where they really happen.
-void RecordSiteEvent(const RunSpec& day, const SiteEvent& incident, History* history);
+void RecordSiteEvent(const RunSpec& spec, const SiteEvent& event, History* history);
 // For each gateway the stretches in which it ran or was stopped, for each fault its stretch, for each budget
 // the sum of its parts over time. Bounded: at most 4,000 stretches and points in all.
 nlohmann::json BuildTimeline(const History& history, Micros end);
--- a/lab/model/backend.cpp
+++ b/lab/model/backend.cpp
@@ -8,52 +8,54 @@
 namespace lemonchute::lab {
 namespace {
 
-constexpr Micros kColdStep = 50'000;  // a hundredth of the shortest warming, and of a tip's span a thirtieth
+constexpr Micros kWarmUpStep =
+    50'000;  // a hundredth of the shortest warming, and of a tip's span a thirtieth
 constexpr uint64_t kHandshakeBit = uint64_t{1} << 63;  // ids of work that is nobody's
-constexpr double kDone = 1e-9;                         // seconds of work: below a microsecond of time
+constexpr double kWorkEpsilon = 1e-9;                  // seconds of work: below a microsecond of time
 
 }  // namespace
 
 double Backend::Warmth(Micros now) const {
   if (now >= warm_at_) return 1;
-  double along = static_cast<double>(now - started_) / static_cast<double>(warm_at_ - started_);
-  return day_->cold_share + (1 - day_->cold_share) * along;
+  double progress = static_cast<double>(now - started_) / static_cast<double>(warm_at_ - started_);
+  return spec_->cold_share + (1 - spec_->cold_share) * progress;
 }
 
 double Backend::Capacity(Micros now) const {
-  double crowded = static_cast<double>(request_count()) / (b_.cores * day_->crowding_at);
-  double efficiency = crowded > 1 ? std::max(0.05, 1 - day_->crowding_loss * (crowded - 1)) : 1;
-  return b_.cores * b_.speed * Warmth(now) * efficiency / slow_;
+  double crowded = static_cast<double>(request_count()) / (backend_.cores * spec_->crowding_at);
+  double efficiency = crowded > 1 ? std::max(0.05, 1 - spec_->crowding_loss * (crowded - 1)) : 1;
+  return backend_.cores * backend_.speed * Warmth(now) * efficiency / slowdown_;
 }
 
-double Backend::PerJob(Micros now) const {
-  return running_.empty() ? 0
-                          : Capacity(now) / std::max<double>(b_.cores, static_cast<double>(running_.size()));
+double Backend::RatePerJob(Micros now) const {
+  return running_.empty()
+             ? 0
+             : Capacity(now) / std::max<double>(backend_.cores, static_cast<double>(running_.size()));
 }
 
 double Backend::ExpectedSeconds(Micros now, double work_s) const {
   if (!up_) return 1e3;
   double capacity = std::max(1e-9, Capacity(now));
-  auto running = static_cast<double>(running_.size()), slots = static_cast<double>(b_.slots);
-  double sharing = std::max(1.0, std::min(running + 1, slots) / b_.cores);
+  auto running = static_cast<double>(running_.size()), slots = static_cast<double>(backend_.slots);
+  double sharing = std::max(1.0, std::min(running + 1, slots) / backend_.cores);
   // With no slot free, what waits goes first, and then half of a job of the same size.
   double ahead = running < slots ? 0 : waiting_work_ + work_s / 2;
-  return ahead / capacity + work_s * sharing * b_.cores / capacity;
+  return ahead / capacity + work_s * sharing * backend_.cores / capacity;
 }
 
 void Backend::Advance(Micros now, std::vector<Completion>* ends) {
-  while (at_ < now) {
-    double rate = PerJob(at_);
+  while (updated_at_ < now) {
+    double rate = RatePerJob(updated_at_);
     Micros step = now;
     if (!running_.empty() && rate > 0) {
       double left = std::max(0.0, running_.begin()->first - progress_) / rate;
       if (left < 1e9)
-        step = std::min(step, at_ + std::max<Micros>(1, static_cast<Micros>(std::ceil(left * 1e6))));
+        step = std::min(step, updated_at_ + std::max<Micros>(1, static_cast<Micros>(std::ceil(left * 1e6))));
     }
-    if (at_ < warm_at_) step = std::min(step, at_ + kColdStep);
-    progress_ += rate * ToSeconds(step - at_);
-    at_ = step;
-    while (!running_.empty() && running_.begin()->first <= progress_ + kDone) {
+    if (updated_at_ < warm_at_) step = std::min(step, updated_at_ + kWarmUpStep);
+    progress_ += rate * ToSeconds(step - updated_at_);
+    updated_at_ = step;
+    while (!running_.empty() && running_.begin()->first <= progress_ + kWorkEpsilon) {
       uint64_t id = running_.begin()->second;
       running_.erase(running_.begin());
       if ((id & kHandshakeBit) == 0) {
@@ -63,9 +65,9 @@
       }
     }
     FillSlots();
-    if (day_->drops_overdue) {
+    if (spec_->drops_overdue) {
       for (auto job = waiting_.begin(); job != waiting_.end();) {
-        if (job->deadline > at_) {
+        if (job->deadline > updated_at_) {
           ++job;
           continue;
         }
@@ -79,21 +81,21 @@
 
 Micros Backend::NextEventAt() const {
   if (running_.empty()) return kNever;  // nothing runs, so nothing waits
-  double rate = PerJob(at_);
+  double rate = RatePerJob(updated_at_);
   if (rate <= 0) return kNever;
   Micros next =
-      at_ +
+      updated_at_ +
       std::max<Micros>(
           1, static_cast<Micros>(std::ceil(std::max(0.0, running_.begin()->first - progress_) / rate * 1e6)));
-  if (at_ < warm_at_) next = std::min(next, at_ + kColdStep);
-  if (day_->drops_overdue && !waiting_.empty()) {
-    for (const Job& job : waiting_) next = std::min(next, std::max(at_ + 1, job.deadline));
+  if (updated_at_ < warm_at_) next = std::min(next, updated_at_ + kWarmUpStep);
+  if (spec_->drops_overdue && !waiting_.empty()) {
+    for (const Job& job : waiting_) next = std::min(next, std::max(updated_at_ + 1, job.deadline));
   }
   return next;
 }
 
 void Backend::FillSlots() {
-  while (!waiting_.empty() && static_cast<int>(jobs_.size()) < b_.slots) {
+  while (!waiting_.empty() && static_cast<int>(jobs_.size()) < backend_.slots) {
     Job job = waiting_.front();
     waiting_.pop_front();
     waiting_work_ -= job.work_s;
@@ -105,10 +107,10 @@
 void Backend::Start(Micros now, bool cold) {
   Stop();
   up_ = true, leaving_ = false;
-  at_ = started_ = now;
-  warm_at_ = cold ? now + FromSeconds(day_->cold_s) : now;
-  pushed_.clear();
-  pushed_work_ = pushed_told_ = 0;
+  updated_at_ = started_ = now;
+  warm_at_ = cold ? now + FromSeconds(spec_->cold_s) : now;
+  recent_work_.clear();
+  recent_work_s_ = recent_informed_work_s_ = 0;
 }
 
 void Backend::Stop() {
@@ -118,9 +120,10 @@
 }
 
 Backend::Admission Backend::Offer(Micros now, const Job& job) {
-  at_ = std::max(at_, now);
+  updated_at_ = std::max(updated_at_, now);
   if (!up_) return Admission::kDown;
-  bool full = static_cast<int>(jobs_.size()) >= b_.slots && static_cast<int>(waiting_.size()) >= b_.queue;
+  bool full =
+      static_cast<int>(jobs_.size()) >= backend_.slots && static_cast<int>(waiting_.size()) >= backend_.queue;
   if (full || leaving_) return Admission::kFull;
   waiting_.push_back(job);
   waiting_work_ += job.work_s;
@@ -129,9 +132,9 @@
 }
 
 double Backend::Cancel(Micros now, uint64_t id) {
-  at_ = std::max(at_, now);
+  updated_at_ = std::max(updated_at_, now);
   if (auto job = jobs_.find(id); job != jobs_.end()) {
-    if (!day_->cancel_running) return 0;
+    if (!spec_->cancel_running) return 0;
     double done = std::max(0.0, job->second.second - (job->second.first - progress_));
     running_.erase({job->second.first, id});
     jobs_.erase(job);
@@ -146,28 +149,30 @@
 }
 
 void Backend::Handshake(Micros now) {
-  at_ = std::max(at_, now);
-  if (up_ && day_->handshake_work_s > 0)
-    running_.insert({progress_ + day_->handshake_work_s, kHandshakeBit | ++handshakes_});
+  updated_at_ = std::max(updated_at_, now);
+  if (up_ && spec_->handshake_work_s > 0)
+    running_.insert({progress_ + spec_->handshake_work_s, kHandshakeBit | ++handshake_count_});
 }
 
-std::optional<Backend::Tip> Backend::RecordColdLoad(Micros now, double work_s, bool told) {
+std::optional<Backend::Tip> Backend::RecordColdLoad(Micros now, double work_s, bool informed) {
   if (!IsCold(now)) return std::nullopt;
-  pushed_.push_back({now, work_s, told});
-  pushed_work_ += work_s, pushed_told_ += told ? work_s : 0;
-  while (pushed_.front().at < now - FromSeconds(day_->tip_s)) {
-    pushed_work_ -= pushed_.front().work, pushed_told_ -= pushed_.front().told ? pushed_.front().work : 0;
-    pushed_.pop_front();
+  recent_work_.push_back({now, work_s, informed});
+  recent_work_s_ += work_s, recent_informed_work_s_ += informed ? work_s : 0;
+  while (recent_work_.front().at < now - FromSeconds(spec_->tip_s)) {
+    recent_work_s_ -= recent_work_.front().work,
+        recent_informed_work_s_ -= recent_work_.front().informed ? recent_work_.front().work : 0;
+    recent_work_.pop_front();
   }
-  double bears = day_->tip_multiple * b_.cores * b_.speed * Warmth(now) * day_->tip_s + day_->tip_slack_s;
-  if (pushed_work_ <= bears) return std::nullopt;
+  double limit =
+      spec_->tip_multiple * backend_.cores * backend_.speed * Warmth(now) * spec_->tip_s + spec_->tip_slack_s;
+  if (recent_work_s_ <= limit) return std::nullopt;
   Stop();
-  return Tip{pushed_work_, bears, pushed_told_ / pushed_work_, ToSeconds(now - started_)};
+  return Tip{recent_work_s_, limit, recent_informed_work_s_ / recent_work_s_, ToSeconds(now - started_)};
 }
 
 void Backend::SetSlowdown(Micros now, double times) {
-  at_ = std::max(at_, now);
-  slow_ = std::max(1.0, times);
+  updated_at_ = std::max(updated_at_, now);
+  slowdown_ = std::max(1.0, times);
 }
 
 }  // namespace lemonchute::lab
--- a/lab/model/backend.h
+++ b/lab/model/backend.h
@@ -26,7 +26,7 @@
   };
   enum class Admission { kAccepted, kFull, kDown };
 
-  Backend(const RunSpec& day, const BackendSpec& figures) : day_(&day), b_(figures) {}
+  Backend(const RunSpec& spec, const BackendSpec& backend) : spec_(&spec), backend_(backend) {}
 
   // Ends come from Advance, in order of time; call it before every other call at that time.
   void Advance(Micros now, std::vector<Completion>* ends);
@@ -58,31 +58,31 @@
   double Capacity(Micros now) const;
   // Seconds until `work_s` brought now would be done, if nothing else came.
   double ExpectedSeconds(Micros now, double work_s) const;
-  bool HasFreeSlot() const { return up_ && static_cast<int>(running_.size()) < b_.slots; }
+  bool HasFreeSlot() const { return up_ && static_cast<int>(running_.size()) < backend_.slots; }
 
  private:
   double Warmth(Micros now) const;
-  double PerJob(Micros now) const;
+  double RatePerJob(Micros now) const;
   void FillSlots();
 
-  const RunSpec* day_;
-  BackendSpec b_;
+  const RunSpec* spec_;
+  BackendSpec backend_;
   bool up_ = false, leaving_ = false;
-  Micros at_ = 0, started_ = 0, warm_at_ = 0;
-  double slow_ = 1;
+  Micros updated_at_ = 0, started_ = 0, warm_at_ = 0;
+  double slowdown_ = 1;
   double progress_ = 0;                            // work done for each running job since the start of time
   std::set<std::pair<double, uint64_t>> running_;  // the progress at which a job is done, and its id
   std::unordered_map<uint64_t, std::pair<double, double>> jobs_;  // running: where it ends, and its work
   std::deque<Job> waiting_;
   double waiting_work_ = 0;
-  uint64_t handshakes_ = 0;
-  struct Pushed {
+  uint64_t handshake_count_ = 0;
+  struct ReceivedWork {
     Micros at;
     double work;
-    bool told;
+    bool informed;
   };
-  std::deque<Pushed> pushed_;
-  double pushed_work_ = 0, pushed_told_ = 0;
+  std::deque<ReceivedWork> recent_work_;
+  double recent_work_s_ = 0, recent_informed_work_s_ = 0;
 };
 
 }  // namespace lemonchute::lab
--- a/lab/model/client_router.h
+++ b/lab/model/client_router.h
@@ -13,7 +13,7 @@
 
 class ClientRouter {
  public:
-  explicit ClientRouter(const RunSpec& day);
+  explicit ClientRouter(const RunSpec& spec);
 
   // The gateway of the set for a try that is sent now; -1 where the front sees none of them up.
   int PickGateway(uint32_t arrival, int number, Micros now) const;
@@ -32,10 +32,10 @@
   std::optional<Micros> RetryAt(uint32_t arrival, int number, Micros now, double retry_after_s) const;
 
  private:
-  Random Habits(uint32_t arrival, int number, uint64_t what) const;
+  Random RandomFor(uint32_t arrival, int number, uint64_t purpose) const;
 
-  const RunSpec* day_;
-  std::vector<Micros> unseen_until_;  // by when the front has noticed that it is down; kNever: it is up
+  const RunSpec* spec_;
+  std::vector<Micros> visible_until_;  // by when the front has noticed that it is down; kNever: it is up
 };
 
 }  // namespace lemonchute::lab
--- a/lab/model/counter.h
+++ b/lab/model/counter.h
@@ -21,26 +21,26 @@
     double total = 0;
   };
 
-  explicit Counter(const RunSpec& day);
+  explicit Counter(const RunSpec& spec);
 
   // Calls have to come in order of time. `keep_ms` is the life of a new name, at most a minute.
-  Reply Call(Micros now, std::string_view name, double amount, double keep_ms);
+  Reply Call(Micros now, std::string_view name, double amount, double ttl_ms);
   // While down it says nothing; when it comes back it is empty.
   void SetDown(bool down);
   void SetLostShare(double share) { lost_share_ = share; }
 
  private:
-  struct Number {
+  struct Entry {
     double value = 0;
-    Micros until = 0;
+    Micros expires_at = 0;
   };
-  void Sweep(Micros now);
+  void RemoveExpired(Micros now);
 
-  double per_call_s_, call_s_, longest_line_s_, lost_share_, day_lost_;
+  double service_s_, latency_s_, max_queue_s_, lost_share_, base_lost_share_;
   Random random_;
   std::vector<Micros> busy_until_;
-  std::unordered_map<std::string, Number> names_;
-  Micros swept_ = 0;
+  std::unordered_map<std::string, Entry> entries_;
+  Micros last_removal_ = 0;
   bool down_ = false;
 };
 
--- a/lab/model/discovery.cpp
+++ b/lab/model/discovery.cpp
@@ -12,13 +12,13 @@
 
 }  // namespace
 
-Discovery::Discovery(const RunSpec& day)
-    : day_(&day), random_(day.seed, Stream::kNetwork, 2), cut_(static_cast<size_t>(day.gateways), 0) {}
+Discovery::Discovery(const RunSpec& spec)
+    : spec_(&spec), random_(spec.seed, Stream::kNetwork, 2), cut_(static_cast<size_t>(spec.gateways), 0) {}
 
-int Discovery::Publish(Micros now, const Entry& entry, std::vector<Micros>* told) {
+int Discovery::Publish(Micros now, const Entry& entry, std::vector<Micros>* notified_at) {
   bool start = entry.state == ListState::kActive;
-  double lo = start ? day_->discovery_start_notice_lo : day_->discovery_notice_lo;
-  double hi = start ? day_->discovery_start_notice_hi : day_->discovery_notice_hi;
+  double lo = start ? spec_->discovery_start_notice_lo : spec_->discovery_notice_lo;
+  double hi = start ? spec_->discovery_start_notice_hi : spec_->discovery_notice_hi;
   changes_.push_back({now, entry});
   // The list learns of it once, for all; each gateway then a little later.
   double notice = random_.Uniform(lo, hi);
@@ -26,53 +26,53 @@
   bool withheld = false;
   for (size_t g = 0; g < cut_.size(); ++g) {
     // While it is silent nothing is drawn, so that days without a cut stay as they are.
-    Micros at = silent_ ? kNever : now + FromSeconds(notice + random_.Uniform(0, day_->discovery_agent_s));
-    if (Withholds(g)) at = kNever, withheld = true;
-    if (!told_.empty()) at = std::max(at, told_.back()[g]);
+    Micros at = silent_ ? kNever : now + FromSeconds(notice + random_.Uniform(0, spec_->discovery_agent_s));
+    if (IsWithheldFrom(g)) at = kNever, withheld = true;
+    if (!notified_at_.empty()) at = std::max(at, notified_at_.back()[g]);
     row.push_back(at);
   }
   withheld_.push_back(withheld ? 1 : 0);
-  told_.push_back(row);
-  if (told != nullptr) *told = row;
+  notified_at_.push_back(row);
+  if (notified_at != nullptr) *notified_at = row;
   return static_cast<int>(changes_.size());
 }
 
 // What was not told yet waits for the end of the silence.
-void Discovery::Keep(size_t gateway, Micros now) {
-  for (size_t v = 0; v < told_.size(); ++v) {
-    if (told_[v][gateway] > now) told_[v][gateway] = kNever, withheld_[v] = 1;
+void Discovery::Withhold(size_t gateway, Micros now) {
+  for (size_t v = 0; v < notified_at_.size(); ++v) {
+    if (notified_at_[v][gateway] > now) notified_at_[v][gateway] = kNever, withheld_[v] = 1;
   }
 }
 
 void Discovery::Release(size_t gateway, Micros now) {
-  for (std::vector<Micros>& row : told_) {
-    if (row[gateway] == kNever && !Withholds(gateway)) row[gateway] = now + kAfterSilence;
+  for (std::vector<Micros>& row : notified_at_) {
+    if (row[gateway] == kNever && !IsWithheldFrom(gateway)) row[gateway] = now + kAfterSilence;
   }
 }
 
-void Discovery::SetSilent(bool silent, Micros now, std::vector<Micros>* told) {
+void Discovery::SetSilent(bool silent, Micros now, std::vector<Micros>* notified_at) {
   silent_ = silent;
-  for (size_t g = 0; g < cut_.size(); ++g) silent ? Keep(g, now) : Release(g, now);
-  if (told != nullptr && !told_.empty()) *told = told_.back();
+  for (size_t g = 0; g < cut_.size(); ++g) silent ? Withhold(g, now) : Release(g, now);
+  if (notified_at != nullptr && !notified_at_.empty()) *notified_at = notified_at_.back();
 }
 
 void Discovery::SetCut(int gateway, bool cut, Micros now) {
   auto g = static_cast<size_t>(gateway);
   cut_[g] = cut ? 1 : 0;
-  cut ? Keep(g, now) : Release(g, now);
+  cut ? Withhold(g, now) : Release(g, now);
 }
 
 int Discovery::VersionAt(int gateway, Micros now) const {
-  auto later = std::partition_point(told_.begin(), told_.end(), [&](const std::vector<Micros>& row) {
-    return row[static_cast<size_t>(gateway)] <= now;
-  });
-  return static_cast<int>(later - told_.begin());
+  auto later = std::partition_point(
+      notified_at_.begin(), notified_at_.end(),
+      [&](const std::vector<Micros>& row) { return row[static_cast<size_t>(gateway)] <= now; });
+  return static_cast<int>(later - notified_at_.begin());
 }
 
 std::vector<Discovery::Entry> Discovery::ListAt(int version) const {
   std::map<int, Entry> list;
-  for (size_t b = 0; b < day_->backends.size(); ++b) {
-    if (day_->backends[b].starts_at == 0)
+  for (size_t b = 0; b < spec_->backends.size(); ++b) {
+    if (spec_->backends[b].starts_at == 0)
       list[static_cast<int>(b)] = {static_cast<int>(b), ListState::kActive, 0};
   }
   for (int v = 0; v < version; ++v) {
--- a/lab/model/discovery.h
+++ b/lab/model/discovery.h
@@ -23,13 +23,13 @@
     Entry entry;
   };
 
-  explicit Discovery(const RunSpec& day);
+  explicit Discovery(const RunSpec& spec);
 
   // Version numbers are 1 + the place in changes(); version 0 is the list of the start.
   // For each gateway, when it is told: `told[g]`; kNever while discovery is silent.
-  int Publish(Micros now, const Entry& entry, std::vector<Micros>* told);
+  int Publish(Micros now, const Entry& entry, std::vector<Micros>* notified_at);
   // Silent ends: what waited is told now. Gives each gateway's moment for the newest version.
-  void SetSilent(bool silent, Micros now, std::vector<Micros>* told);
+  void SetSilent(bool silent, Micros now, std::vector<Micros>* notified_at);
 
   // The same for one gateway alone, whose path to discovery passes nothing.
   void SetCut(int gateway, bool cut, Micros now);
@@ -38,7 +38,7 @@
   int VersionAt(int gateway, Micros now) const;
   // When `gateway` was or will be told of the version (from 1).
   Micros NotifiedAt(int gateway, int version) const {
-    return told_[static_cast<size_t>(version - 1)][static_cast<size_t>(gateway)];
+    return notified_at_[static_cast<size_t>(version - 1)][static_cast<size_t>(gateway)];
   }
   // Whether a silence kept that version from some gateways.
   bool Withheld(int version) const { return withheld_[static_cast<size_t>(version - 1)] != 0; }
@@ -47,17 +47,17 @@
   const std::vector<Change>& changes() const { return changes_; }
 
  private:
-  const RunSpec* day_;
+  const RunSpec* spec_;
   Random random_;
-  void Keep(size_t gateway, Micros now);
+  void Withhold(size_t gateway, Micros now);
   void Release(size_t gateway, Micros now);
-  bool Withholds(size_t gateway) const { return silent_ || cut_[gateway] != 0; }
+  bool IsWithheldFrom(size_t gateway) const { return silent_ || cut_[gateway] != 0; }
 
   bool silent_ = false;
   std::vector<char> cut_;  // by gateway
   std::vector<Change> changes_;
-  std::vector<std::vector<Micros>> told_;  // for each version, for each gateway
-  std::vector<char> withheld_;             // by version
+  std::vector<std::vector<Micros>> notified_at_;  // for each version, for each gateway
+  std::vector<char> withheld_;                    // by version
 };
 
 }  // namespace lemonchute::lab
--- a/lab/model/disk.cpp
+++ b/lab/model/disk.cpp
@@ -6,85 +6,87 @@
 
 namespace lemonchute::lab {
 
-bool SimulatedDisk::Put(const std::string& name, std::string bytes, bool over) {
-  size_t held = bytes.size();
-  for (const auto& [other, number] : names_) held += other == name ? 0 : files_[number].now.size();
-  if (fails_ || held > room_) return false;
-  auto found = names_.find(name);
-  if (found == names_.end()) found = names_.emplace(name, ++last_).first;
+bool SimulatedDisk::SetContent(const std::string& name, std::string bytes, bool overwrite) {
+  size_t total_bytes = bytes.size();
+  for (const auto& [other, file_id] : directory_)
+    total_bytes += other == name ? 0 : files_[file_id].content.size();
+  if (failing_ || total_bytes > capacity_) return false;
+  auto found = directory_.find(name);
+  if (found == directory_.end()) found = directory_.emplace(name, ++last_file_id_).first;
   File& file = files_[found->second];
-  file.now = std::move(bytes);
-  file.torn |= over;
+  file.content = std::move(bytes);
+  file.overwritten |= overwrite;
   return true;
 }
 
 bool SimulatedDisk::Write(const std::string& name, const std::string& bytes) {
-  return Put(name, bytes, true);
+  return SetContent(name, bytes, true);
 }
 
 bool SimulatedDisk::Append(const std::string& name, const std::string& bytes) {
-  return Put(name, Read(name).value_or("") + bytes, false);
+  return SetContent(name, Read(name).value_or("") + bytes, false);
 }
 
 bool SimulatedDisk::Sync(const std::string& name) {
-  auto found = names_.find(name);
-  if (fails_ || found == names_.end()) return false;
+  auto found = directory_.find(name);
+  if (failing_ || found == directory_.end()) return false;
   File& file = files_[found->second];
-  file.synced = file.now, file.torn = false;
+  file.synced_content = file.content, file.overwritten = false;
   ++syncs_;
   return true;
 }
 
 bool SimulatedDisk::Rename(const std::string& from, const std::string& to) {
-  auto found = names_.find(from);
-  if (fails_ || found == names_.end()) return false;
-  names_[to] = found->second;
-  names_.erase(from);
+  auto found = directory_.find(from);
+  if (failing_ || found == directory_.end()) return false;
+  directory_[to] = found->second;
+  directory_.erase(from);
   return true;
 }
 
-bool SimulatedDisk::Remove(const std::string& name) { return !fails_ && names_.erase(name) > 0; }
+bool SimulatedDisk::Remove(const std::string& name) { return !failing_ && directory_.erase(name) > 0; }
 
 bool SimulatedDisk::SyncDirectory() {
-  if (fails_) return false;
-  safe_names_ = names_;
+  if (failing_) return false;
+  synced_directory_ = directory_;
   ++syncs_;
   return true;
 }
 
 std::optional<std::string> SimulatedDisk::Read(const std::string& name) const {
-  auto found = names_.find(name);
-  if (found == names_.end()) return std::nullopt;
-  return files_.at(found->second).now;
+  auto found = directory_.find(name);
+  if (found == directory_.end()) return std::nullopt;
+  return files_.at(found->second).content;
 }
 
 std::vector<std::string> SimulatedDisk::ListNames() const {
   std::vector<std::string> all;
-  for (const auto& [name, number] : names_) all.push_back(name);
+  for (const auto& [name, file_id] : directory_) all.push_back(name);
   return all;
 }
 
 void SimulatedDisk::PowerLoss(Random* random) {
   std::set<std::string> names;
-  for (const auto& [name, number] : names_) names.insert(name);
-  for (const auto& [name, number] : safe_names_) names.insert(name);
-  std::map<std::string, int> left;
+  for (const auto& [name, file_id] : directory_) names.insert(name);
+  for (const auto& [name, file_id] : synced_directory_) names.insert(name);
+  std::map<std::string, int> survivors;
   for (const std::string& name : names) {
     // Each change of a name has reached the disk or not.
-    const auto& from = random->Chance(0.5) ? names_ : safe_names_;
+    const auto& from = random->Chance(0.5) ? directory_ : synced_directory_;
     auto found = from.find(name);
-    if (found != from.end()) left[name] = found->second;
+    if (found != from.end()) survivors[name] = found->second;
   }
-  for (auto& [number, file] : files_) {
-    if (file.now == file.synced && !file.torn) continue;
-    size_t kept = file.torn ? 0 : file.synced.size();  // what is written over may be gone altogether
-    kept +=
-        static_cast<size_t>(random->UniformInt(static_cast<int>(std::max(file.now.size(), kept) - kept) + 1));
-    bool old = file.torn && random->Chance(0.5);
-    file.now = old ? file.synced : file.now.substr(0, kept);
-    file.synced = file.now, file.torn = false;
+  for (auto& [file_id, file] : files_) {
+    if (file.content == file.synced_content && !file.overwritten) continue;
+    size_t kept =
+        file.overwritten ? 0 : file.synced_content.size();  // what is written over may be gone altogether
+    kept += static_cast<size_t>(
+        random->UniformInt(static_cast<int>(std::max(file.content.size(), kept) - kept) + 1));
+    bool keep_old = file.overwritten && random->Chance(0.5);
+    file.content = keep_old ? file.synced_content : file.content.substr(0, kept);
+    file.synced_content = file.content, file.overwritten = false;
   }
-  names_ = safe_names_ = left;
+  directory_ = synced_directory_ = survivors;
 }
 
 }  // namespace lemonchute::lab
--- a/lab/model/disk.h
+++ b/lab/model/disk.h
@@ -16,7 +16,7 @@
 class SimulatedDisk {
  public:
   // `room`: bytes that all files together may hold.
-  explicit SimulatedDisk(size_t capacity = SIZE_MAX) : room_(capacity) {}
+  explicit SimulatedDisk(size_t capacity = SIZE_MAX) : capacity_(capacity) {}
 
   // Each says whether it was done; a no changes nothing, as with a full or failing disk.
   bool Write(const std::string& name, const std::string& bytes);  // all of the file, in place of what it was
@@ -31,22 +31,23 @@
   // The power goes; what is left is drawn.
   void PowerLoss(Random* random);
   // From here on every change is refused.
-  void SetFailing(bool fails) { fails_ = fails; }
+  void SetFailing(bool failing) { failing_ = failing; }
   uint64_t syncs() const { return syncs_; }
 
  private:
   struct File {
-    std::string synced, now;  // bytes that are safe, and as a reader sees them
-    bool torn = false;        // written over since the last sync, not only made longer
+    std::string synced_content, content;  // bytes that are safe, and as a reader sees them
+    bool overwritten = false;             // written over since the last sync, not only made longer
   };
-  bool Put(const std::string& name, std::string bytes, bool over);
+  bool SetContent(const std::string& name, std::string bytes, bool overwrite);
 
-  const size_t room_;
-  bool fails_ = false;
+  const size_t capacity_;
+  bool failing_ = false;
   uint64_t syncs_ = 0;
-  int last_ = 0;
+  int last_file_id_ = 0;
   std::map<int, File> files_;
-  std::map<std::string, int> names_, safe_names_;  // as a reader sees them, and as they outlive a power loss
+  std::map<std::string, int> directory_,
+      synced_directory_;  // as a reader sees them, and as they outlive a power loss
 };
 
 }  // namespace lemonchute::lab
--- a/lab/model/ground_truth.h
+++ b/lab/model/ground_truth.h
@@ -14,41 +14,41 @@
 
 class GroundTruth {
  public:
-  explicit GroundTruth(const RunSpec& day);
+  explicit GroundTruth(const RunSpec& spec);
 
   // How a try of so many units would stand now; nothing changes.
   QuotaStatus StatusOf(uint32_t customer, Micros now, double units) const;
   // A try is first sent on: takes its units where it is inside. `ceiling_left` is what the ceiling's store
   // holds after that, above its slack: below nought the rule is broken. Large where there is no ceiling.
-  QuotaStatus Forward(uint32_t customer, Micros now, double guess, double* ceiling_left);
-  void OnAttemptSent(uint32_t customer) { ++stores_[customer].open; }
-  void OnAttemptEnded(uint32_t customer) { --stores_[customer].open; }
+  QuotaStatus Forward(uint32_t customer, Micros now, double estimated_units, double* ceiling_margin);
+  void OnAttemptSent(uint32_t customer) { ++states_[customer].attempts_in_flight; }
+  void OnAttemptEnded(uint32_t customer) { --states_[customer].attempts_in_flight; }
   // The first good answer of a try inside the quota tells the true units.
-  void Settle(uint32_t customer, Micros now, double guess, double units);
+  void Settle(uint32_t customer, Micros now, double estimated_units, double units);
   // Share of its store that a customer has now.
   double TokenShare(uint32_t customer, Micros now) const;
-  void ScaleQuotas(double times);  // every quota from here on
+  void ScaleQuotas(double factor);  // every quota from here on
 
  private:
-  struct Store {
-    double units = 0, ceiling = 0;
-    Micros at = 0;
-    int open = 0;
+  struct QuotaState {
+    double tokens = 0, ceiling_tokens = 0;
+    Micros updated_at = 0;
+    int attempts_in_flight = 0;
   };
   const PlanSpec& Plan(uint32_t customer) const {
-    return plans_[static_cast<size_t>(day_->customers[customer].plan)];
+    return plans_[static_cast<size_t>(spec_->customers[customer].plan)];
   }
-  double Filled(const Store& store, const PlanSpec& plan, Micros now) const;
-  void Fill(Store* store, const PlanSpec& plan, Micros now);
+  double TokensAt(const QuotaState& state, const PlanSpec& plan, Micros now) const;
+  void Refill(QuotaState* state, const PlanSpec& plan, Micros now);
 
-  const RunSpec* day_;
+  const RunSpec* spec_;
   std::vector<PlanSpec> plans_;
-  std::vector<Store> stores_;
+  std::vector<QuotaState> states_;
 };
 
 // For each arrival, whether one gateway that saw all first tries would let it in: what is asked inside
 // quotas.
-std::vector<bool> WithinQuotaByFirstTries(const RunSpec& day);
+std::vector<bool> WithinQuotaByFirstTries(const RunSpec& spec);
 
 }  // namespace lemonchute::lab
 
--- a/lab/model/losses.h
+++ b/lab/model/losses.h
@@ -27,23 +27,24 @@
 
 class Losses {
  public:
-  explicit Losses(const RunSpec& day) : last_(day.arrivals.size(), Loss::kUnanswered) {}
-  void Set(uint32_t arrival, Loss loss) { last_[arrival] = loss; }
+  explicit Losses(const RunSpec& spec) : last_loss_(spec.arrivals.size(), Loss::kUnanswered) {}
+  void Set(uint32_t arrival, Loss loss) { last_loss_[arrival] = loss; }
   // By name, the share of `offered`; `worth` is an arrival's, nought where it does not count.
   template <typename Worth>
   nlohmann::json Report(double offered, Worth worth) const {
-    std::vector<double> sums(static_cast<size_t>(Loss::kCount), 0);
-    for (uint32_t i = 0; i < last_.size(); ++i) sums[static_cast<size_t>(last_[i])] += worth(i);
+    std::vector<double> loss_sums(static_cast<size_t>(Loss::kCount), 0);
+    for (uint32_t i = 0; i < last_loss_.size(); ++i)
+      loss_sums[static_cast<size_t>(last_loss_[i])] += worth(i);
     nlohmann::json report;
-    for (size_t l = 0; l < sums.size(); ++l) {
-      bool counts = static_cast<Loss>(l) != Loss::kServed && offered > 0;
-      if (counts) report[Name(static_cast<Loss>(l))] = std::round(1e6 * sums[l] / offered) / 1e6;
+    for (size_t index = 0; index < loss_sums.size(); ++index) {
+      bool counts = static_cast<Loss>(index) != Loss::kServed && offered > 0;
+      if (counts) report[Name(static_cast<Loss>(index))] = std::round(1e6 * loss_sums[index] / offered) / 1e6;
     }
     return report;
   }
 
  private:
-  std::vector<Loss> last_;
+  std::vector<Loss> last_loss_;
 };
 
 }  // namespace lemonchute::lab
--- a/lab/model/network.h
+++ b/lab/model/network.h
@@ -10,28 +10,28 @@
 
 class Network {
  public:
-  explicit Network(const RunSpec& day)
-      : day_(&day), random_(day.seed, Stream::kNetwork), cut_(static_cast<size_t>(day.zones), 0) {}
+  explicit Network(const RunSpec& spec)
+      : spec_(&spec), random_(spec.seed, Stream::kNetwork), zone_cut_(static_cast<size_t>(spec.zones), 0) {}
 
   // One way. The gateway's and the other's zone; the counter and discovery stand in zone 0.
   Micros OneWayDelay(int from_zone, int to_zone) {
-    return Draw(from_zone == to_zone ? day_->same_zone_s : day_->cross_zone_s);
+    return DrawDelay(from_zone == to_zone ? spec_->same_zone_s : spec_->cross_zone_s);
   }
-  Micros ClientDelay() { return Draw(day_->client_s); }
-  void SetZoneCut(int zone, bool cut) { cut_[static_cast<size_t>(zone)] = cut ? 1 : 0; }
+  Micros ClientDelay() { return DrawDelay(spec_->client_s); }
+  void SetZoneCut(int zone, bool cut) { zone_cut_[static_cast<size_t>(zone)] = cut ? 1 : 0; }
   bool Passes(int from_zone, int to_zone) const {
     return from_zone == to_zone ||
-           (cut_[static_cast<size_t>(from_zone)] == 0 && cut_[static_cast<size_t>(to_zone)] == 0);
+           (zone_cut_[static_cast<size_t>(from_zone)] == 0 && zone_cut_[static_cast<size_t>(to_zone)] == 0);
   }
 
  private:
-  Micros Draw(double mean_s) {
-    return std::max<Micros>(1, FromSeconds(mean_s * random_.LognormalFactor(day_->jitter)));
+  Micros DrawDelay(double mean_s) {
+    return std::max<Micros>(1, FromSeconds(mean_s * random_.LognormalFactor(spec_->jitter)));
   }
 
-  const RunSpec* day_;
+  const RunSpec* spec_;
   Random random_;
-  std::vector<char> cut_;
+  std::vector<char> zone_cut_;
 };
 
 }  // namespace lemonchute::lab
--- a/lab/model/paths.cpp
+++ b/lab/model/paths.cpp
@@ -7,24 +7,24 @@
 namespace {
 
 // The least time after which a kernel sends a lost packet again (Linux, TCP_RTO_MIN).
-constexpr double kSentAgainS = 0.2;
+constexpr double kRetransmitTimeoutS = 0.2;
 // A datagram that is overtaken comes so many of its ways later: behind those that were sent next.
-constexpr double kReorderedWays = 4;
+constexpr double kReorderDelayFactor = 4;
 
-bool Names(const std::vector<int>& numbers, int number) {
+bool Contains(const std::vector<int>& numbers, int number) {
   return numbers.empty() || std::find(numbers.begin(), numbers.end(), number) != numbers.end();
 }
 
-void Join(const PathFault& fault, PathState* state) {
-  auto either = [](double a, double b) { return 1 - (1 - a) * (1 - b); };
+void ApplyFault(const PathFault& fault, PathState* state) {
+  auto combined = [](double a, double b) { return 1 - (1 - a) * (1 - b); };
   switch (fault.kind) {
     case PathFaultKind::kCut: state->cut = true; break;
     case PathFaultKind::kBlackHole: state->black_hole = true; break;
     case PathFaultKind::kReset: state->resets = true; break;
     case PathFaultKind::kDelay: state->delay_s += fault.size * 1e-3; break;
-    case PathFaultKind::kLoss: state->loss = either(state->loss, fault.size); break;
-    case PathFaultKind::kDuplicate: state->duplicate = either(state->duplicate, fault.size); break;
-    case PathFaultKind::kReorder: state->reorder = either(state->reorder, fault.size); break;
+    case PathFaultKind::kLoss: state->loss = combined(state->loss, fault.size); break;
+    case PathFaultKind::kDuplicate: state->duplicate = combined(state->duplicate, fault.size); break;
+    case PathFaultKind::kReorder: state->reorder = combined(state->reorder, fault.size); break;
     case PathFaultKind::kThrottle:
       state->bytes_per_s =
           state->bytes_per_s > 0 ? std::min(state->bytes_per_s, fault.size) : std::max(1.0, fault.size);
@@ -35,47 +35,49 @@
 }  // namespace
 
 std::vector<int> Paths::GatewaysOf(int fault) const {
-  std::vector<int> numbers = day_->path_faults[static_cast<size_t>(fault)].gateways;
-  for (int g = 0; numbers.empty() && g < day_->gateways; ++g) numbers.push_back(g);
+  std::vector<int> numbers = spec_->path_faults[static_cast<size_t>(fault)].gateways;
+  for (int g = 0; numbers.empty() && g < spec_->gateways; ++g) numbers.push_back(g);
   return numbers;
 }
 
-PathState Paths::StateOf(int gateway, RemoteParty far, int other, bool out) const {
+PathState Paths::StateOf(int gateway, RemoteParty remote, int other, bool out) const {
   PathState state;
-  if (far == RemoteParty::kGateways) state.loss = day_->peer_loss;
-  for (size_t i = 0; i < on_.size(); ++i) {
-    const PathFault& fault = day_->path_faults[i];
-    if (on_[i] == 0 || fault.remote != far) continue;
-    bool there = fault.direction != PathDirection::kIn, back = fault.direction != PathDirection::kOut;
-    bool ours =
-        Names(fault.gateways, gateway) &&
-        (far == RemoteParty::kCounter || far == RemoteParty::kDiscovery || Names(fault.others, other));
-    bool hit = ours && (out ? there : back);
+  if (remote == RemoteParty::kGateways) state.loss = spec_->peer_loss;
+  for (size_t i = 0; i < active_.size(); ++i) {
+    const PathFault& fault = spec_->path_faults[i];
+    if (active_[i] == 0 || fault.remote != remote) continue;
+    bool affects_outbound = fault.direction != PathDirection::kIn,
+         affects_inbound = fault.direction != PathDirection::kOut;
+    bool matches = Contains(fault.gateways, gateway) &&
+                   (remote == RemoteParty::kCounter || remote == RemoteParty::kDiscovery ||
+                    Contains(fault.others, other));
+    bool applies = matches && (out ? affects_outbound : affects_inbound);
     // Between gateways a path has two near ends: the same fault, seen from the other one.
-    if (far == RemoteParty::kGateways && Names(fault.gateways, other) && Names(fault.others, gateway))
-      hit |= out ? back : there;
-    if (hit) Join(fault, &state);
+    if (remote == RemoteParty::kGateways && Contains(fault.gateways, other) &&
+        Contains(fault.others, gateway))
+      applies |= out ? affects_inbound : affects_outbound;
+    if (applies) ApplyFault(fault, &state);
   }
   return state;
 }
 
 Micros Paths::StreamDelay(const PathState& state, size_t bytes) {
-  if (on_.empty()) return 0;
-  double wait = state.delay_s * random_.LognormalFactor(day_->jitter);
-  if (random_.Chance(state.loss)) wait += kSentAgainS;
-  if (state.bytes_per_s > 0) wait += static_cast<double>(bytes) / state.bytes_per_s;
-  return FromSeconds(wait);
+  if (active_.empty()) return 0;
+  double delay = state.delay_s * random_.LognormalFactor(spec_->jitter);
+  if (random_.Chance(state.loss)) delay += kRetransmitTimeoutS;
+  if (state.bytes_per_s > 0) delay += static_cast<double>(bytes) / state.bytes_per_s;
+  return FromSeconds(delay);
 }
 
-std::vector<Micros> Paths::DatagramDelays(int from, int to, Micros way) {
+std::vector<Micros> Paths::DatagramDelays(int from, int to, Micros network_delay) {
   PathState state = Outbound(from, RemoteParty::kGateways, to);
   std::vector<Micros> copies;
   if (!state.Passes() || random_.Chance(state.loss)) return copies;
-  size_t number = random_.Chance(state.duplicate) ? 2 : 1;
-  for (size_t i = 0; i < number; ++i) {
-    Micros wait = way + FromSeconds(state.delay_s * random_.LognormalFactor(day_->jitter));
-    if (random_.Chance(state.reorder)) wait += FromSeconds(kReorderedWays * ToSeconds(wait));
-    copies.push_back(wait);
+  size_t copy_count = random_.Chance(state.duplicate) ? 2 : 1;
+  for (size_t i = 0; i < copy_count; ++i) {
+    Micros delay = network_delay + FromSeconds(state.delay_s * random_.LognormalFactor(spec_->jitter));
+    if (random_.Chance(state.reorder)) delay += FromSeconds(kReorderDelayFactor * ToSeconds(delay));
+    copies.push_back(delay);
   }
   return copies;
 }
--- a/lab/model/paths.h
+++ b/lab/model/paths.h
@@ -23,33 +23,33 @@
 
 class Paths {
  public:
-  explicit Paths(const RunSpec& day)
-      : day_(&day), random_(day.seed, Stream::kPaths), on_(day.path_faults.size(), 0) {}
+  explicit Paths(const RunSpec& spec)
+      : spec_(&spec), random_(spec.seed, Stream::kPaths), active_(spec.path_faults.size(), 0) {}
 
-  void SetActive(int fault, bool on) { on_[static_cast<size_t>(fault)] = on ? 1 : 0; }
+  void SetActive(int fault, bool on) { active_[static_cast<size_t>(fault)] = on ? 1 : 0; }
   // From a gateway to the other end, and back. `other`: a gateway or backend; of no meaning for the rest.
-  PathState Outbound(int gateway, RemoteParty far, int other = 0) const {
-    return StateOf(gateway, far, other, true);
+  PathState Outbound(int gateway, RemoteParty remote, int other = 0) const {
+    return StateOf(gateway, remote, other, true);
   }
-  PathState Inbound(int gateway, RemoteParty far, int other = 0) const {
-    return StateOf(gateway, far, other, false);
+  PathState Inbound(int gateway, RemoteParty remote, int other = 0) const {
+    return StateOf(gateway, remote, other, false);
   }
-  bool Passes(int gateway, RemoteParty far, int other = 0) const {
-    return Outbound(gateway, far, other).Passes() && Inbound(gateway, far, other).Passes();
+  bool Passes(int gateway, RemoteParty remote, int other = 0) const {
+    return Outbound(gateway, remote, other).Passes() && Inbound(gateway, remote, other).Passes();
   }
   // The gateways that a fault befalls at its near ends.
   std::vector<int> GatewaysOf(int fault) const;
   // A packet of a stream: what the faults add to its time. A lost one is sent again by the kernel.
   Micros StreamDelay(const PathState& state, size_t bytes);
   // When each copy of a datagram arrives, from now; none where it is lost. `way`: the network's own time.
-  std::vector<Micros> DatagramDelays(int from, int to, Micros way);
+  std::vector<Micros> DatagramDelays(int from, int to, Micros network_delay);
 
  private:
-  PathState StateOf(int gateway, RemoteParty far, int other, bool out) const;
+  PathState StateOf(int gateway, RemoteParty remote, int other, bool out) const;
 
-  const RunSpec* day_;
+  const RunSpec* spec_;
   Random random_;
-  std::vector<char> on_;
+  std::vector<char> active_;
 };
 
 }  // namespace lemonchute::lab
--- a/lab/model/run_checker.h
+++ b/lab/model/run_checker.h
@@ -49,7 +49,7 @@
   kRefusedNeedlessly,
   kCount
 };
-const char* Name(DecisionKind mark);
+const char* Name(DecisionKind decision);
 
 struct Violation {
   std::string rule, description;
@@ -60,11 +60,11 @@
 
 class RunChecker {
  public:
-  RunChecker(const RunSpec& day, const Discovery& discovery);
+  RunChecker(const RunSpec& spec, const Discovery& discovery);
   // Requests and their answers are put into `history` too, from here on. It outlives the judge.
   void RecordTo(History* history) { history_ = history; }
 
-  uint32_t OnTrySent(Micros now, uint32_t arrival, int number, int gateway, Micros patience);
+  uint32_t OnTrySent(Micros now, uint32_t arrival, int number, int gateway, Micros timeout);
   void OnTryReceived(Micros now, uint32_t id);
   // The gateway could not be reached or closed the connection unheard. Failed, and not lost.
   void OnTryUndelivered(Micros now, uint32_t id);
@@ -79,27 +79,27 @@
   // Work that a backend did for an attempt after it was out no more.
   void AddWastedWork(double work_s) { wasted_s_ += work_s; }
   // The client has a whole final answer. `room`: a refusal's gateway knew of a backend with a free slot.
-  void OnTryAnswered(Micros now, uint32_t id, TryOutcome final, bool room);
+  void OnTryAnswered(Micros now, uint32_t id, TryOutcome outcome, bool slot_free);
   // The client has left, or its patience is over.
   void OnClientLeft(Micros now, uint32_t id);
   // The gateway ended this request's connection without a whole answer, or never answered.
-  void OnTryLost(Micros now, uint32_t id, const std::string& how);
+  void OnTryLost(Micros now, uint32_t id, const std::string& reason);
   void OnGatewayEnded(Micros now, int gateway);
   // It is killed after the time that it had to end by itself: what it took after `since` and holds is lost.
   void OnGatewayKilledAfterGrace(Micros now, int gateway, Micros since);
   // A process of it starts: what was told to the one before counts as told from here on.
-  void OnGatewayStarted(Micros now, int gateway) { started_[static_cast<size_t>(gateway)] = now; }
-  void OnGatewayCrashed(Micros now, int gateway, const std::string& how);
+  void OnGatewayStarted(Micros now, int gateway) { gateway_started_at_[static_cast<size_t>(gateway)] = now; }
+  void OnGatewayCrashed(Micros now, int gateway, const std::string& reason);
   void OnBackendTipped(Micros now, int backend, const Backend::Tip& tip);
   void OnCounterCall(Micros now, int gateway, double amount);
   void OnHandshake(Micros now);
   // A peer that sent no proper request was given an error or a close in time, or was not.
   void OnMisbehavingPeer(bool rejected_in_time) {
-    ++misbehaving_peers_, rude_left_ += rejected_in_time ? 0 : 1;
+    ++misbehaving_peers_, unrejected_peers_ += rejected_in_time ? 0 : 1;
   }
   void OnBackendOffline(Micros now, int backend, bool offline);
   void OnQuotasScaled(double times) { ground_truth_.ScaleQuotas(times); }
-  void AddViolation(const std::string& rule, Micros now, uint32_t id, const std::string& what);
+  void AddViolation(const std::string& rule, Micros now, uint32_t id, const std::string& description);
 
   // Whether `gateway` has been told by `now` that `backend` is there, drains or has left; the last word
   // counts.
@@ -114,48 +114,48 @@
 
   const Try& GetTry(uint32_t id) const { return tries_[id]; }
   size_t try_count() const { return tries_.size(); }
-  const std::vector<Violation>& violations() const { return breaches_; }
-  uint64_t violation_count() const { return broken_; }
+  const std::vector<Violation>& violations() const { return violations_; }
+  uint64_t violation_count() const { return violation_count_; }
   // Everything about the day as it stands: figures, prices, marks, series by the second, breaches.
   nlohmann::json Report(Micros now) const;
 
  private:
   struct Second {
     double offered = 0, served = 0;  // worth inside quotas, by when it was asked
-    double beyond_units = 0;
-    std::array<uint32_t, static_cast<size_t>(DecisionKind::kCount)> marks{};
-    uint32_t asked = 0, tries = 0, attempts = 0, calls = 0, failed = 0, handshakes = 0;
+    double over_quota_units = 0;
+    std::array<uint32_t, static_cast<size_t>(DecisionKind::kCount)> decisions{};
+    uint32_t first_try_count = 0, tries = 0, attempts = 0, calls = 0, failed = 0, handshakes = 0;
   };
   double Worth(uint32_t arrival, double units) const;
-  double Offered(uint32_t arrival) const;
+  double OfferedWorth(uint32_t arrival) const;
   Second& SecondOf(Micros now);
-  void MarkAs(DecisionKind mark, Micros now, uint32_t id);
-  void Say(HistoryEventKind what, Micros now, uint32_t id);
-  void Note(char what, Micros now, uint64_t a, uint64_t b = 0);
+  void CountDecision(DecisionKind decision, Micros now, uint32_t id);
+  void RecordRequestEvent(HistoryEventKind event, Micros now, uint32_t id);
+  void UpdateDigest(char tag, Micros now, uint64_t a, uint64_t b = 0);
 
-  const RunSpec* day_;
+  const RunSpec* spec_;
   const Discovery* discovery_;
   GroundTruth ground_truth_;
-  std::vector<bool> inside_;  // by first tries
+  std::vector<bool> within_quota_;  // by first tries
   std::vector<Try> tries_;
   Losses losses_;
-  std::vector<char> done_;                     // by arrival: 1 served in time, 2 served late
-  std::vector<std::vector<int>> versions_of_;  // by backend: discovery's versions that speak of it
-  mutable size_t versions_seen_ = 0;
-  std::vector<Micros> started_;  // by gateway: its latest process
+  std::vector<char> served_state_;                     // by arrival: 1 served in time, 2 served late
+  std::vector<std::vector<int>> versions_by_backend_;  // by backend: discovery's versions that speak of it
+  mutable size_t indexed_versions_ = 0;
+  std::vector<Micros> gateway_started_at_;  // by gateway: its latest process
   std::map<int, Micros> offline_since_;
-  std::vector<std::set<uint32_t>> open_at_;  // by gateway: tries taken and not ended
-  std::vector<Violation> breaches_;
-  uint64_t broken_ = 0;
+  std::vector<std::set<uint32_t>> open_tries_;  // by gateway: tries taken and not ended
+  std::vector<Violation> violations_;
+  uint64_t violation_count_ = 0;
   std::vector<Second> seconds_;
   std::vector<double> plan_served_;
-  double over_cost_ = 0, wasted_s_ = 0, hidden_worth_ = 0;
-  uint64_t calls_ = 0, attempts_ = 0, cross_zone_ = 0, handshakes_ = 0, unheard_ = 0, lost_ = 0, tipped_ = 0,
-           misbehaving_peers_ = 0, rude_left_ = 0;
-  uint64_t served_ = 0, refused_ = 0, failed_ = 0, refused_with_half_ = 0;
-  double units_on_ = 0, units_beyond_ = 0, units_settled_ = 0, units_told_ = 0;
+  double over_cost_ = 0, wasted_s_ = 0, held_worth_ = 0;
+  uint64_t calls_ = 0, attempts_ = 0, cross_zone_ = 0, handshakes_ = 0, undelivered_ = 0, lost_ = 0,
+           tipped_ = 0, misbehaving_peers_ = 0, unrejected_peers_ = 0;
+  uint64_t served_ = 0, refused_ = 0, failed_ = 0, refused_at_half_tokens_ = 0;
+  double units_forwarded_ = 0, units_over_quota_ = 0, units_settled_ = 0, units_reported_ = 0;
   double regret_known_s_ = 0, regret_best_s_ = 0;
-  uint64_t regrets_ = 0;
+  uint64_t regret_count_ = 0;
   using LogAxis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
   boost::histogram::histogram<std::tuple<LogAxis>> latency_;
   uint64_t digest_ = 0;
--- a/lab/model/run_spec.h
+++ b/lab/model/run_spec.h
@@ -114,7 +114,7 @@
   kStateFolderFault,  // the state folders of gateways; size: which StateFolderFault
   kStarveGateway,     // gateways: run `size` of each slice of time; nought ends it
 };
-const char* Name(SiteEventKind what);
+const char* Name(SiteEventKind kind);
 struct SiteEvent {
   Micros at = 0;
   SiteEventKind kind = SiteEventKind::kKillGateway;
--- a/lab/model/scenario.cpp
+++ b/lab/model/scenario.cpp
@@ -12,19 +12,19 @@
 namespace lemonchute::lab {
 namespace {
 
-constexpr double kAny =
+constexpr double kUnbounded =
     1e9;  // larger than any figure of a site; keeps products within what a double holds exactly
-constexpr size_t kMostFaults = 64, kMostText = 1 << 20, kMostEntries = 64;
+constexpr size_t kMaxErrors = 64, kMaxTextBytes = 1 << 20, kMaxEntries = 64;
 
-using Faults = std::vector<ScenarioError>;
+using Errors = std::vector<ScenarioError>;
 
-void Add(Faults* faults, int line, std::string key, std::string why) {
-  if (faults->size() < kMostFaults) faults->push_back({line, std::move(key), std::move(why)});
+void AddError(Errors* errors, int line, std::string key, std::string message) {
+  if (errors->size() < kMaxErrors) errors->push_back({line, std::move(key), std::move(message)});
 }
 
 int LineOf(const toml::node& node) { return static_cast<int>(node.source().begin.line); }
 
-std::string Plain(double value) {
+std::string FormatNumber(double value) {
   std::string text = std::to_string(value);
   while (text.find('.') != std::string::npos && (text.back() == '0' || text.back() == '.')) {
     bool point = text.back() == '.';
@@ -36,87 +36,90 @@
 
 // The range that `node` says, within what `figure` allows.
 template <typename Owner>
-void TakeFigure(const Parameter<Owner>& figure, const toml::node& node, const std::string& key, Owner* owner,
-                Faults* faults) {
+void ReadParameter(const Parameter<Owner>& parameter, const toml::node& node, const std::string& key,
+                   Owner* owner, Errors* errors) {
   Range range;
   auto number = [](const toml::node& n) { return n.value<double>(); };
-  if (const toml::array* both = node.as_array()) {
-    auto lo = both->size() == 2 ? number(*both->get(0)) : std::nullopt;
-    auto hi = both->size() == 2 ? number(*both->get(1)) : std::nullopt;
-    if (!lo || !hi) return Add(faults, LineOf(node), key, "is not a range of two numbers, [from, to]");
+  if (const toml::array* bounds = node.as_array()) {
+    auto lo = bounds->size() == 2 ? number(*bounds->get(0)) : std::nullopt;
+    auto hi = bounds->size() == 2 ? number(*bounds->get(1)) : std::nullopt;
+    if (!lo || !hi) return AddError(errors, LineOf(node), key, "is not a range of two numbers, [from, to]");
     range = {*lo, *hi};
   } else if (auto one = number(node)) {
     range = {*one, *one};
   } else if (auto flag = node.value<bool>()) {
     range = {*flag ? 1.0 : 0.0, *flag ? 1.0 : 0.0};
   } else {
-    return Add(faults, LineOf(node), key, "is neither a number nor a range, [from, to]");
+    return AddError(errors, LineOf(node), key, "is neither a number nor a range, [from, to]");
   }
   if (!std::isfinite(range.lo) || !std::isfinite(range.hi))
-    return Add(faults, LineOf(node), key, "is not a finite number");
+    return AddError(errors, LineOf(node), key, "is not a finite number");
   if (range.lo > range.hi)
-    return Add(faults, LineOf(node), key,
-               "is a range upside down: " + Plain(range.lo) + " is above " + Plain(range.hi));
-  if (range.lo < figure.min || range.hi > figure.max) {
-    return Add(faults, LineOf(node), key,
-               "has to lie from " + Plain(figure.min) + " to " + Plain(figure.max));
+    return AddError(
+        errors, LineOf(node), key,
+        "is a range upside down: " + FormatNumber(range.lo) + " is above " + FormatNumber(range.hi));
+  if (range.lo < parameter.min || range.hi > parameter.max) {
+    return AddError(errors, LineOf(node), key,
+                    "has to lie from " + FormatNumber(parameter.min) + " to " + FormatNumber(parameter.max));
   }
-  if (figure.integer_only && (range.lo != std::floor(range.lo) || range.hi != std::floor(range.hi))) {
-    return Add(faults, LineOf(node), key, "has to be a whole number");
+  if (parameter.integer_only && (range.lo != std::floor(range.lo) || range.hi != std::floor(range.hi))) {
+    return AddError(errors, LineOf(node), key, "has to be a whole number");
   }
-  owner->*figure.member = range;
+  owner->*parameter.member = range;
 }
 
 template <typename Owner>
-const Parameter<Owner>* Find(const std::vector<Parameter<Owner>>& figures, std::string_view key) {
-  for (const Parameter<Owner>& figure : figures) {
-    if (key == figure.key) return &figure;
+const Parameter<Owner>* FindParameter(const std::vector<Parameter<Owner>>& parameters, std::string_view key) {
+  for (const Parameter<Owner>& parameter : parameters) {
+    if (key == parameter.key) return &parameter;
   }
   return nullptr;
 }
 
 // A key that is one more letter off than it should be is most often a wrong unit: say which there is.
 template <typename Owner>
-std::string Unknown(const std::vector<Parameter<Owner>>& figures, std::string_view key) {
+std::string UnknownKeyMessage(const std::vector<Parameter<Owner>>& parameters, std::string_view key) {
   auto stem = [](std::string_view k) { return k.substr(0, std::min(k.rfind('_'), k.size())); };
-  for (const Parameter<Owner>& figure : figures) {
-    if (stem(figure.key) == stem(key)) return std::string("is not known; did you mean ") + figure.key + "?";
+  for (const Parameter<Owner>& parameter : parameters) {
+    if (stem(parameter.key) == stem(key))
+      return std::string("is not known; did you mean ") + parameter.key + "?";
   }
   return "is not known";
 }
 
 template <typename Owner>
-void TakeTable(const std::vector<Parameter<Owner>>& figures, const toml::table& table, const std::string& at,
-               const std::set<std::string_view>& texts, Owner* owner, Faults* faults) {
+void ReadTable(const std::vector<Parameter<Owner>>& parameters, const toml::table& table,
+               const std::string& at, const std::set<std::string_view>& texts, Owner* owner, Errors* errors) {
   for (const auto& [name, node] : table) {
     std::string_view key = name.str();
     if (texts.count(key) != 0) continue;
     std::string full = at.empty() ? std::string(key) : at + "." + std::string(key);
-    if (const Parameter<Owner>* figure = Find(figures, key)) {
-      TakeFigure(*figure, node, full, owner, faults);
+    if (const Parameter<Owner>* parameter = FindParameter(parameters, key)) {
+      ReadParameter(*parameter, node, full, owner, errors);
     } else {
-      Add(faults, LineOf(node), full, Unknown(figures, key));
+      AddError(errors, LineOf(node), full, UnknownKeyMessage(parameters, key));
     }
   }
 }
 
-std::string Text(const toml::table& table, const char* key, const std::string& at, bool needed,
-                 Faults* faults) {
+std::string ReadText(const toml::table& table, const char* key, const std::string& at, bool needed,
+                     Errors* errors) {
   const toml::node* node = table.get(key);
   std::string full = at.empty() ? key : at + "." + key;
   if (node == nullptr) {
-    if (needed) Add(faults, LineOf(table), full, "is missing");
+    if (needed) AddError(errors, LineOf(table), full, "is missing");
     return "";
   }
   auto text = node->value<std::string>();
   bool plain = text && text->size() <= 400 &&
                std::all_of(text->begin(), text->end(), [](unsigned char c) { return c >= 0x20; });
-  if (!plain) Add(faults, LineOf(*node), full, "is not a plain text of at most 400 letters");
+  if (!plain) AddError(errors, LineOf(*node), full, "is not a plain text of at most 400 letters");
   return plain ? *text : "";
 }
 
 // A list of whole numbers; none where the key is absent.
-std::vector<int> Numbers(const toml::table& table, const char* key, const std::string& at, Faults* faults) {
+std::vector<int> ReadNumbers(const toml::table& table, const char* key, const std::string& at,
+                             Errors* errors) {
   std::vector<int> numbers;
   const toml::node* node = table.get(key);
   if (node == nullptr) return numbers;
@@ -127,61 +130,61 @@
     sound = number && *number >= 0 && *number < 10000;
     if (sound) numbers.push_back(static_cast<int>(*number));
   }
-  if (!sound) Add(faults, LineOf(*node), at + "." + key, "is not a list of one to 10000 whole numbers");
+  if (!sound) AddError(errors, LineOf(*node), at + "." + key, "is not a list of one to 10000 whole numbers");
   return numbers;
 }
 
 // Names go into paths and headers: letters, digits and dashes.
-void CheckName(const std::string& name, int line, const std::string& key, Faults* faults) {
+void CheckName(const std::string& name, int line, const std::string& key, Errors* errors) {
   bool plain = !name.empty() && name.size() <= 40 && std::all_of(name.begin(), name.end(), [](char c) {
     return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-';
   });
-  if (!plain) Add(faults, line, key, "has to be small letters, digits and dashes, at most 40");
+  if (!plain) AddError(errors, line, key, "has to be small letters, digits and dashes, at most 40");
 }
 
 // The tables of an array of tables, each with its place.
-template <typename Each>
-void ForEach(const toml::table& root, const char* key, Faults* faults, Each each) {
+template <typename Visit>
+void ForEachTable(const toml::table& root, const char* key, Errors* errors, Visit visit) {
   const toml::node* node = root.get(key);
   if (node == nullptr) return;
   const toml::array* items = node->as_array();
-  if (items == nullptr || items->size() > kMostEntries) {
-    return Add(faults, LineOf(*node), key,
-               "is not a list of at most " + std::to_string(kMostEntries) + " tables, [[" + key + "]]");
+  if (items == nullptr || items->size() > kMaxEntries) {
+    return AddError(errors, LineOf(*node), key,
+                    "is not a list of at most " + std::to_string(kMaxEntries) + " tables, [[" + key + "]]");
   }
   for (size_t i = 0; i < items->size(); ++i) {
     std::string at = std::string(key) + "[" + std::to_string(i) + "]";
     if (const toml::table* item = items->get(i)->as_table()) {
-      each(*item, at);
+      visit(*item, at);
     } else {
-      Add(faults, LineOf(*items->get(i)), at, "is not a table");
+      AddError(errors, LineOf(*items->get(i)), at, "is not a table");
     }
   }
 }
 
-void TakeExpectations(const toml::table& table, Expectations* expect, Faults* faults) {
+void ReadExpectations(const toml::table& table, Expectations* expect, Errors* errors) {
   for (const auto& [name, node] : table) {
     std::string_view key = name.str();
     std::string full = "expect." + std::string(key);
     if (key == "rules") {
       auto text = node.value<std::string>();
       if (!text || (*text != "kept" && *text != "any"))
-        Add(faults, LineOf(node), full, "has to be \"kept\" or \"any\"");
+        AddError(errors, LineOf(node), full, "has to be \"kept\" or \"any\"");
       else
         expect->rules_kept = *text == "kept";
       continue;
     }
-    std::optional<double>* figure = key == "g_at_least"          ? &expect->g_at_least
-                                    : key == "served_at_least"   ? &expect->served_at_least
-                                    : key == "recover_s_at_most" ? &expect->recover_s_at_most
-                                    : key == "told_at_most"      ? &expect->told_at_most
-                                                                 : nullptr;
-    if (figure == nullptr) {
-      Add(faults, LineOf(node), full, "is not known");
+    std::optional<double>* parameter = key == "g_at_least"          ? &expect->g_at_least
+                                       : key == "served_at_least"   ? &expect->served_at_least
+                                       : key == "recover_s_at_most" ? &expect->recover_s_at_most
+                                       : key == "told_at_most"      ? &expect->told_at_most
+                                                                    : nullptr;
+    if (parameter == nullptr) {
+      AddError(errors, LineOf(node), full, "is not known");
     } else if (auto value = node.value<double>(); value && std::isfinite(*value)) {
-      *figure = *value;
+      *parameter = *value;
     } else {
-      Add(faults, LineOf(node), full, "is not a number");
+      AddError(errors, LineOf(node), full, "is not a number");
     }
   }
 }
@@ -190,7 +193,7 @@
 
 const std::vector<Parameter<Scenario>>& ScenarioParameters() {
   using S = Scenario;
-  static const std::vector<Parameter<Scenario>> figures = {
+  static const std::vector<Parameter<Scenario>> parameters = {
       {"day.length_s", &S::length_s, 1, 7200, false, "clients arrive for so long"},
       {"day.settle_s", &S::settle_s, 0, 600, false, "and the day goes on for so long after"},
       {"fleet.gateways", &S::gateways, 1, 10000, true, "gateways of the tier"},
@@ -302,12 +305,12 @@
       {"goal.window", &S::goal_window, 0, 1, false, "weight of the worst 10 s"},
       {"goal.plan", &S::goal_plan, 0, 1, false, "weight of the worst plan"},
   };
-  return figures;
+  return parameters;
 }
 
 const std::vector<Parameter<ClassConfig>>& ClassParameters() {
   using C = ClassConfig;
-  static const std::vector<Parameter<C>> figures = {
+  static const std::vector<Parameter<C>> parameters = {
       {"share", &C::share, 0, 1000, false, "of the requests, against the other classes"},
       {"work_ms", &C::work_ms, 0.01, 60000, false, "mean work on one core of speed 1"},
       {"work_cv", &C::work_cv, 0, 3, false, "variation of the work"},
@@ -315,14 +318,14 @@
       {"deadline_ms", &C::deadline_ms, 1, 600000, false, "a client's whole patience"},
       {"worth", &C::worth, 0, 1000, false, "of one unit"},
   };
-  return figures;
+  return parameters;
 }
 
 const std::vector<Parameter<PlanConfig>>& PlanParameters() {
   using P = PlanConfig;
-  static const std::vector<Parameter<P>> figures = {
+  static const std::vector<Parameter<P>> parameters = {
       {"share", &P::share, 0, 1000, false, "of the use inside quotas, against the other plans"},
-      {"units_per_s", &P::units_per_s, 0.01, kAny, false, "a customer's rate"},
+      {"units_per_s", &P::units_per_s, 0.01, kUnbounded, false, "a customer's rate"},
       {"burst_s", &P::burst_s, 0, 3600, false,
        "of the rate, that may be used at once; two of the largest requests at least"},
       {"price", &P::price, 0, 1000, false, "factor on the worth"},
@@ -332,19 +335,19 @@
        "attempts out at once, times what the rate keeps out; 0: no cap"},
       {"ceiling_times", &P::ceiling_times, 0, 100, false, "hard ceiling, times rate and burst; 0: none"},
   };
-  return figures;
+  return parameters;
 }
 
 const std::vector<Parameter<EventConfig>>& EventParameters() {
   using E = EventConfig;
-  static const std::vector<Parameter<E>> figures = {
+  static const std::vector<Parameter<E>> parameters = {
       {"at_s", &E::at_s, 0, 7200, false, "when it begins"},
       {"for_s", &E::for_s, 0, 7200, false, "how long it lasts"},
       {"part", &E::part, 0, 1, false, "share of what it befalls"},
       {"size", &E::size, 0, 1e6, false, "how strong it is"},
       {"down_s", &E::down_s, 0, 600, false, "how long a process stays away"},
   };
-  return figures;
+  return parameters;
 }
 
 const std::vector<EventKind>& EventKinds() {
@@ -410,102 +413,106 @@
 namespace {
 
 // What an event says in words, and by number.
-void CheckEvent(const Scenario& s, const EventConfig& e, const std::string& at, Faults* faults) {
-  auto among = [&](const char* key, const std::string& value, std::initializer_list<const char*> allowed) {
+void CheckEvent(const Scenario& s, const EventConfig& e, const std::string& at, Errors* errors) {
+  auto check_one_of = [&](const char* key, const std::string& value,
+                          std::initializer_list<const char*> allowed) {
     std::string all;
     for (const char* one : allowed) {
       if (value == one) return;
       all.append(all.empty() ? "" : ", ").append(one);
     }
-    Add(faults, e.line, at + "." + key, "\"" + value + "\" is none of " + all);
+    AddError(errors, e.line, at + "." + key, "\"" + value + "\" is none of " + all);
   };
-  bool path = e.kind.rfind("path-", 0) == 0;
-  if (path) {
-    among("to", e.to, {"gateways", "counter", "discovery", "backends"});
-    among("way", e.way, {"both", "out", "in"});
+  bool is_path = e.kind.rfind("path-", 0) == 0;
+  if (is_path) {
+    check_one_of("to", e.to, {"gateways", "counter", "discovery", "backends"});
+    check_one_of("way", e.way, {"both", "out", "in"});
     bool share = e.kind == "path-loss" || e.kind == "path-duplicate" || e.kind == "path-reorder";
-    if (share && e.size.hi > 1) Add(faults, e.line, at + ".size", "is a share: from 0 to 1");
+    if (share && e.size.hi > 1) AddError(errors, e.line, at + ".size", "is a share: from 0 to 1");
   }
-  if (e.kind == "starve" && e.size.hi > 1) Add(faults, e.line, at + ".size", "is a share: from 0 to 1");
-  if (e.kind == "power-loss") among("order", e.order, {"drawn", "up", "down"});
+  if (e.kind == "starve" && e.size.hi > 1) AddError(errors, e.line, at + ".size", "is a share: from 0 to 1");
+  if (e.kind == "power-loss") check_one_of("order", e.order, {"drawn", "up", "down"});
   if (e.kind == "spoil")
-    among("what", e.what, {"cut", "flip", "older", "other", "gone", "unreadable", "read-only", "no-room"});
+    check_one_of("what", e.what,
+                 {"cut", "flip", "older", "other", "gone", "unreadable", "read-only", "no-room"});
   bool backends = e.kind == "replace" || e.kind == "crash" || e.kind == "fail" || e.kind == "slow" ||
                   e.kind == "silent" || e.kind == "offline";
   auto numbers = [&](const char* key, const std::vector<int>& values, double most) {
     for (int value : values) {
       if (value < 0 || value >= most)
-        Add(faults, e.line, at + "." + key,
-            std::to_string(value) + " is no number of the fleet, from 0 to " + Plain(most - 1));
+        AddError(errors, e.line, at + "." + key,
+                 std::to_string(value) + " is no number of the fleet, from 0 to " + FormatNumber(most - 1));
     }
   };
   bool zone = e.kind.rfind("zone-", 0) == 0;
   numbers("targets", e.targets, zone ? s.zones.lo : backends ? s.backends.lo : s.gateways.lo);
-  numbers("others", e.others, path && e.to == "backends" ? s.backends.lo : s.gateways.lo);
+  numbers("others", e.others, is_path && e.to == "backends" ? s.backends.lo : s.gateways.lo);
   if (e.kind == "claim")
     numbers("size", {static_cast<int>(e.size.lo), static_cast<int>(e.size.hi)}, s.gateways.lo);
 }
 
 }  // namespace
 
-void CheckConsistency(const Scenario& s, Faults* faults) {
-  if (s.classes.empty()) Add(faults, 0, "class", "there is none: add a [[class]]");
-  if (s.plans.empty()) Add(faults, 0, "plan", "there is none: add a [[plan]]");
+void CheckConsistency(const Scenario& s, Errors* errors) {
+  if (s.classes.empty()) AddError(errors, 0, "class", "there is none: add a [[class]]");
+  if (s.plans.empty()) AddError(errors, 0, "plan", "there is none: add a [[plan]]");
   auto sum = [](const auto& items) {
     double total = 0;
     for (const auto& item : items) total += item.share.lo;
     return total;
   };
   if (!s.classes.empty() && sum(s.classes) <= 0)
-    Add(faults, 0, "class.share", "the shares add up to nothing");
-  if (!s.plans.empty() && sum(s.plans) <= 0) Add(faults, 0, "plan.share", "the shares add up to nothing");
+    AddError(errors, 0, "class.share", "the shares add up to nothing");
+  if (!s.plans.empty() && sum(s.plans) <= 0)
+    AddError(errors, 0, "plan.share", "the shares add up to nothing");
   for (size_t i = 0; i < s.classes.size(); ++i) {
     if (s.classes[i].aim_ms.hi > s.classes[i].deadline_ms.lo)
-      Add(faults, 0, "class[" + std::to_string(i) + "].aim_ms", "may lie past deadline_ms");
+      AddError(errors, 0, "class[" + std::to_string(i) + "].aim_ms", "may lie past deadline_ms");
   }
   if (s.zones.hi > s.gateways.lo || s.zones.hi > s.backends.lo)
-    Add(faults, 0, "fleet.zones", "there may be more zones than gateways or backends");
+    AddError(errors, 0, "fleet.zones", "there may be more zones than gateways or backends");
   if (s.full_share.hi + s.heavy_share.hi + s.spiky_share.hi > 1)
-    Add(faults, 0, "customers", "full_share, heavy_share and spiky_share may add up to more than 1");
+    AddError(errors, 0, "customers", "full_share, heavy_share and spiky_share may add up to more than 1");
   for (size_t i = 0; i < s.events.size(); ++i) {
     const EventConfig& e = s.events[i];
     std::string at = "event[" + std::to_string(i) + "]";
     if (e.at_s.hi > s.length_s.lo)
-      Add(faults, e.line, at + ".at_s", "may lie past the day's end, " + Plain(s.length_s.lo) + " s");
+      AddError(errors, e.line, at + ".at_s",
+               "may lie past the day's end, " + FormatNumber(s.length_s.lo) + " s");
     bool known = std::any_of(EventKinds().begin(), EventKinds().end(),
                              [&](const EventKind& k) { return e.kind == k.name; });
     if (!known)
-      Add(faults, e.line, at + ".kind",
-          "\"" + e.kind + "\" is not known; `lemonchute-lab keys` lists the kinds");
+      AddError(errors, e.line, at + ".kind",
+               "\"" + e.kind + "\" is not known; `lemonchute-lab keys` lists the kinds");
     else
-      CheckEvent(s, e, at, faults);
+      CheckEvent(s, e, at, errors);
   }
 }
 
 ScenarioParseResult ParseScenario(std::string_view text) {
   ScenarioParseResult read;
-  Faults* faults = &read.errors;
-  if (text.size() > kMostText) {
-    Add(faults, 0, "", "is longer than 1 MiB");
+  Errors* errors = &read.errors;
+  if (text.size() > kMaxTextBytes) {
+    AddError(errors, 0, "", "is longer than 1 MiB");
     return read;
   }
   toml::table root;
   try {
     root = toml::parse(text);
   } catch (const toml::parse_error& error) {
-    Add(faults, static_cast<int>(error.source().begin.line), "", std::string(error.description()));
+    AddError(errors, static_cast<int>(error.source().begin.line), "", std::string(error.description()));
     return read;
   }
   Scenario* s = &read.scenario;
-  s->name = Text(root, "name", "", true, faults);
-  if (!s->name.empty()) CheckName(s->name, LineOf(*root.get("name")), "name", faults);
-  s->about = Text(root, "about", "", false, faults);
-  s->extensions = Text(root, "extensions", "", false, faults);
+  s->name = ReadText(root, "name", "", true, errors);
+  if (!s->name.empty()) CheckName(s->name, LineOf(*root.get("name")), "name", errors);
+  s->about = ReadText(root, "about", "", false, errors);
+  s->extensions = ReadText(root, "extensions", "", false, errors);
   if (!s->extensions.empty() && !nlohmann::json::parse(s->extensions, nullptr, false).is_object())
-    Add(faults, LineOf(*root.get("extensions")), "extensions", "is not the text of a JSON object");
+    AddError(errors, LineOf(*root.get("extensions")), "extensions", "is not the text of a JSON object");
   std::set<std::string, std::less<>> sections;
-  for (const Parameter<Scenario>& figure : ScenarioParameters())
-    sections.insert(std::string(figure.key).substr(0, std::string_view(figure.key).find('.')));
+  for (const Parameter<Scenario>& parameter : ScenarioParameters())
+    sections.insert(std::string(parameter.key).substr(0, std::string_view(parameter.key).find('.')));
   for (const auto& [name, node] : root) {
     std::string_view key = name.str();
     if (key == "name" || key == "about" || key == "extensions" || key == "class" || key == "plan" ||
@@ -513,75 +520,76 @@
       continue;
     const toml::table* table = node.as_table();
     if (key == "expect" && table != nullptr) {
-      TakeExpectations(*table, &s->expect, faults);
+      ReadExpectations(*table, &s->expect, errors);
     } else if (sections.count(key) != 0 && table != nullptr) {
       for (const auto& [inner, value] : *table) {
         std::string full = std::string(key) + "." + std::string(inner.str());
-        if (const auto* figure = Find(ScenarioParameters(), full))
-          TakeFigure(*figure, value, full, s, faults);
+        if (const auto* parameter = FindParameter(ScenarioParameters(), full))
+          ReadParameter(*parameter, value, full, s, errors);
         else
-          Add(faults, LineOf(value), full, Unknown(ScenarioParameters(), full));
+          AddError(errors, LineOf(value), full, UnknownKeyMessage(ScenarioParameters(), full));
       }
     } else {
-      Add(faults, LineOf(node), std::string(key),
-          sections.count(key) != 0 || key == "expect" ? "is not a table" : "is not known");
+      AddError(errors, LineOf(node), std::string(key),
+               sections.count(key) != 0 || key == "expect" ? "is not a table" : "is not known");
     }
   }
-  ForEach(root, "class", faults, [&](const toml::table& table, const std::string& at) {
+  ForEachTable(root, "class", errors, [&](const toml::table& table, const std::string& at) {
     ClassConfig c;
-    c.name = Text(table, "name", at, true, faults);
-    if (!c.name.empty()) CheckName(c.name, LineOf(table), at + ".name", faults);
-    if (table.contains("effect")) c.effect = Text(table, "effect", at, true, faults);
-    if (c.effect != "free") Add(faults, LineOf(table), at + ".effect", "only \"free\" is modelled so far");
-    TakeTable(ClassParameters(), table, at, {"name", "effect"}, &c, faults);
+    c.name = ReadText(table, "name", at, true, errors);
+    if (!c.name.empty()) CheckName(c.name, LineOf(table), at + ".name", errors);
+    if (table.contains("effect")) c.effect = ReadText(table, "effect", at, true, errors);
+    if (c.effect != "free")
+      AddError(errors, LineOf(table), at + ".effect", "only \"free\" is modelled so far");
+    ReadTable(ClassParameters(), table, at, {"name", "effect"}, &c, errors);
     s->classes.push_back(c);
   });
-  ForEach(root, "plan", faults, [&](const toml::table& table, const std::string& at) {
+  ForEachTable(root, "plan", errors, [&](const toml::table& table, const std::string& at) {
     PlanConfig p;
-    p.name = Text(table, "name", at, true, faults);
-    if (!p.name.empty()) CheckName(p.name, LineOf(table), at + ".name", faults);
-    TakeTable(PlanParameters(), table, at, {"name"}, &p, faults);
+    p.name = ReadText(table, "name", at, true, errors);
+    if (!p.name.empty()) CheckName(p.name, LineOf(table), at + ".name", errors);
+    ReadTable(PlanParameters(), table, at, {"name"}, &p, errors);
     s->plans.push_back(p);
   });
-  ForEach(root, "event", faults, [&](const toml::table& table, const std::string& at) {
+  ForEachTable(root, "event", errors, [&](const toml::table& table, const std::string& at) {
     EventConfig e;
     e.line = LineOf(table);
-    e.kind = Text(table, "kind", at, true, faults);
+    e.kind = ReadText(table, "kind", at, true, errors);
     for (auto [key, value] :
          {std::pair{"to", &e.to}, {"way", &e.way}, {"what", &e.what}, {"order", &e.order}}) {
-      if (table.contains(key)) *value = Text(table, key, at, true, faults);
+      if (table.contains(key)) *value = ReadText(table, key, at, true, errors);
     }
-    e.targets = Numbers(table, "targets", at, faults);
-    e.others = Numbers(table, "others", at, faults);
-    TakeTable(EventParameters(), table, at, {"kind", "to", "way", "what", "order", "targets", "others"}, &e,
-              faults);
+    e.targets = ReadNumbers(table, "targets", at, errors);
+    e.others = ReadNumbers(table, "others", at, errors);
+    ReadTable(EventParameters(), table, at, {"kind", "to", "way", "what", "order", "targets", "others"}, &e,
+              errors);
     s->events.push_back(e);
   });
-  CheckConsistency(*s, faults);
+  CheckConsistency(*s, errors);
   return read;
 }
 
 std::optional<ScenarioError> SetParameter(Scenario* scenario, std::string_view assignment) {
   size_t equals = assignment.find('=');
   std::string key(assignment.substr(0, equals));
-  const auto* figure = Find(ScenarioParameters(), key);
+  const auto* parameter = FindParameter(ScenarioParameters(), key);
   if (equals == std::string_view::npos)
     return ScenarioError{0, key, "has no '=': write KEY=NUMBER or KEY=[FROM,TO]"};
-  if (figure == nullptr) return ScenarioError{0, key, Unknown(ScenarioParameters(), key)};
-  Faults faults;
+  if (parameter == nullptr) return ScenarioError{0, key, UnknownKeyMessage(ScenarioParameters(), key)};
+  Errors errors;
   try {
     toml::table table = toml::parse("v = " + std::string(assignment.substr(equals + 1)));
-    TakeFigure(*figure, *table.get("v"), key, scenario, &faults);
+    ReadParameter(*parameter, *table.get("v"), key, scenario, &errors);
   } catch (const toml::parse_error&) {
     return ScenarioError{0, key, "is neither a number nor a range, [from, to]"};
   }
-  if (!faults.empty()) return faults.front();
+  if (!errors.empty()) return errors.front();
   return std::nullopt;
 }
 
 namespace {
 
-void Put(std::string_view key, Range range, toml::table* table) {
+void InsertRange(std::string_view key, Range range, toml::table* table) {
   if (range.lo == range.hi)
     table->insert(key, range.lo);
   else
@@ -589,11 +597,12 @@
 }
 
 template <typename Owner>
-void PutFigures(const std::vector<Parameter<Owner>>& figures, const Owner& owner, toml::table* table) {
-  static const Owner usual{};
-  for (const Parameter<Owner>& figure : figures) {
-    Range range = owner.*figure.member;
-    if (!(range == usual.*figure.member)) Put(figure.key, range, table);
+void InsertParameters(const std::vector<Parameter<Owner>>& parameters, const Owner& owner,
+                      toml::table* table) {
+  static const Owner defaults{};
+  for (const Parameter<Owner>& parameter : parameters) {
+    Range range = owner.*parameter.member;
+    if (!(range == defaults.*parameter.member)) InsertRange(parameter.key, range, table);
   }
 }
 
@@ -604,29 +613,29 @@
   root.insert("name", s.name);
   if (!s.about.empty()) root.insert("about", s.about);
   if (!s.extensions.empty()) root.insert("extensions", s.extensions);
-  static const Scenario usual{};
-  for (const Parameter<Scenario>& figure : ScenarioParameters()) {
-    Range range = s.*figure.member;
-    if (range == usual.*figure.member) continue;
-    std::string_view key = figure.key, section = key.substr(0, key.find('.'));
+  static const Scenario defaults{};
+  for (const Parameter<Scenario>& parameter : ScenarioParameters()) {
+    Range range = s.*parameter.member;
+    if (range == defaults.*parameter.member) continue;
+    std::string_view key = parameter.key, section = key.substr(0, key.find('.'));
     if (!root.contains(section)) root.insert(section, toml::table{});
-    Put(key.substr(key.find('.') + 1), range, root[section].as_table());
+    InsertRange(key.substr(key.find('.') + 1), range, root[section].as_table());
   }
   toml::array classes, plans, events;
   for (const ClassConfig& c : s.classes) {
     toml::table one{{"name", c.name}};
-    PutFigures(ClassParameters(), c, &one);
+    InsertParameters(ClassParameters(), c, &one);
     classes.push_back(std::move(one));
   }
   for (const PlanConfig& p : s.plans) {
     toml::table one{{"name", p.name}};
-    PutFigures(PlanParameters(), p, &one);
+    InsertParameters(PlanParameters(), p, &one);
     plans.push_back(std::move(one));
   }
   static const EventConfig no_event{};
   for (const EventConfig& e : s.events) {
     toml::table one{{"kind", e.kind}};
-    PutFigures(EventParameters(), e, &one);
+    InsertParameters(EventParameters(), e, &one);
     auto text = [&](const char* key, const std::string& value, const std::string& absent) {
       if (value != absent) one.insert(key, value);
     };
--- a/lab/model/scenario.h
+++ b/lab/model/scenario.h
@@ -125,7 +125,7 @@
 // The scenario as a file that reads back as the same scenario.
 std::string WriteScenario(const Scenario& scenario);
 // What no single key shows: shares that don't add up, events past the end, more zones than gateways.
-void CheckConsistency(const Scenario& scenario, std::vector<ScenarioError>* faults);
+void CheckConsistency(const Scenario& scenario, std::vector<ScenarioError>* errors);
 
 }  // namespace lemonchute::lab
 
--- a/lab/model/settings.cpp
+++ b/lab/model/settings.cpp
@@ -8,10 +8,10 @@
 std::string ZoneName(int zone) { return "zone-" + std::string(1, static_cast<char>('a' + zone)); }
 std::string GatewayName(int gateway) { return std::string("n").append(std::to_string(gateway)); }
 
-json SettingsOf(const RunSpec& day, int gateway, double scale) {
+json SettingsOf(const RunSpec& spec, int gateway, double scale) {
   json zones = json::array(), classes = json::array(), plans = json::array();
-  for (int z = 0; z < day.zones; ++z) zones.push_back(ZoneName(z));
-  for (const ClassSpec& c : day.classes) {
+  for (int z = 0; z < spec.zones; ++z) zones.push_back(ZoneName(z));
+  for (const ClassSpec& c : spec.classes) {
     classes.push_back({{"name", c.name},
                        {"effect", "free"},
                        {"aim-s", c.aim_s},
@@ -22,7 +22,7 @@
                        {"dedup-scope", "all"},
                        {"streamed", false}});
   }
-  for (const PlanSpec& p : day.plans) {
+  for (const PlanSpec& p : spec.plans) {
     plans.push_back({{"name", p.name},
                      {"units-per-s", p.rate * scale},
                      {"store-size", p.burst * scale},
@@ -35,49 +35,49 @@
                      {"parallel", p.attempt_cap}});
   }
   return {{"me", gateway},
-          {"peers-total", day.gateways},
-          {"zone", day.gateway_zone[static_cast<size_t>(gateway)]},
+          {"peers-total", spec.gateways},
+          {"zone", spec.gateway_zone[static_cast<size_t>(gateway)]},
           {"zones", zones},
           {"kinds", {"std-2c"}},
           {"resolution-s", 0.004},
           {"discovery", "pushed"},
           {"specifics",
-           {{"units-top", day.units_top},
+           {{"units-top", spec.units_top},
             {"may-count", true},
-            {"counter-timeout-s", day.counter_timeout_s},
-            {"counter-price", day.counter_price},
+            {"counter-timeout-s", spec.counter_timeout_s},
+            {"counter-price", spec.counter_price},
             {"trued-up", true},
-            {"peer-in-per-s", day.peer_in_per_s},
+            {"peer-in-per-s", spec.peer_in_per_s},
             {"meter-period-s", 0.0}}},
           {"prices",
-           {{"cross-zone", day.cross_zone_price},
-            {"waste", day.waste_price},
-            {"late-fail", day.late_price},
-            {"handshake", day.handshake_price}}},
+           {{"cross-zone", spec.cross_zone_price},
+            {"waste", spec.waste_price},
+            {"late-fail", spec.late_price},
+            {"handshake", spec.handshake_price}}},
           {"limits",
            {{"cancel", true},
             {"parallel-tries", true},
             {"retry-after", true},
-            {"max-retry-after-s", day.max_retry_after_s},
-            {"try-limit", day.try_limit},
-            {"conn-idle-s", day.idle_s},
-            {"connect-timeout-s", day.connect_timeout_s},
+            {"max-retry-after-s", spec.max_retry_after_s},
+            {"try-limit", spec.try_limit},
+            {"conn-idle-s", spec.idle_s},
+            {"connect-timeout-s", spec.connect_timeout_s},
             {"streams-per-conn", 1}}},
           {"invariants",
-           {{"cold-from", day.cold_from},
-            {"warm-after-s", day.warm_after_s},
-            {"tip-multiple", day.tip_multiple},
-            {"tip-after-s", day.tip_s},
+           {{"cold-from", spec.cold_from},
+            {"warm-after-s", spec.warm_after_s},
+            {"tip-multiple", spec.tip_multiple},
+            {"tip-after-s", spec.tip_s},
             {"ask-within-s", 10.0},
-            {"drain-grace-s", day.drain_grace_s},
+            {"drain-grace-s", spec.drain_grace_s},
             {"grace-to-answer-s", 0.016}}},
           {"request-classes", classes},
           {"tiers-of-service", plans}};
 }
 
-json DiscoveryEntryOf(const RunSpec& day, const Discovery::Entry& entry, const std::string& address,
+json DiscoveryEntryOf(const RunSpec& spec, const Discovery::Entry& entry, const std::string& address,
                       int64_t epoch_ms) {
-  const BackendSpec& b = day.backends[static_cast<size_t>(entry.backend)];
+  const BackendSpec& b = spec.backends[static_cast<size_t>(entry.backend)];
   const char* status = entry.state == ListState::kActive    ? "active"
                        : entry.state == ListState::kLeaving ? "leaving"
                                                             : "left";
@@ -91,7 +91,7 @@
           {"since_ms", entry.since == 0 ? 0 : epoch_ms + entry.since / 1000}};
 }
 
-json ConfigurationOf(const RunSpec& day, int gateway, const GatewayAddresses& addresses, const json& known,
+json ConfigurationOf(const RunSpec& spec, int gateway, const GatewayAddresses& addresses, const json& known,
                      uint64_t seed, double scale) {
   char seed_text[17];
   std::snprintf(seed_text, sizeof(seed_text), "%016llx", static_cast<unsigned long long>(seed));
@@ -100,9 +100,9 @@
                  {"discovery", addresses.discovery},
                  {"counter", addresses.counter},
                  {"seed", seed_text},
-                 {"limits", {{"cores", 1.0}, {"memory_mb", day.memory_mb}, {"sockets", day.descriptors}}},
+                 {"limits", {{"cores", 1.0}, {"memory_mb", spec.memory_mb}, {"sockets", spec.descriptors}}},
                  {"known", known},
-                 {"settings", SettingsOf(day, gateway, scale)}};
+                 {"settings", SettingsOf(spec, gateway, scale)}};
   if (!addresses.peers.empty()) {
     config["peer_listen"] = addresses.peer_listen;
     config["peers"] = addresses.peers, config["peers_all"] = addresses.peers_all;
--- a/lab/model/settings.h
+++ b/lab/model/settings.h
@@ -18,12 +18,12 @@
 };
 
 // The `settings` object; quotas times `scale`.
-nlohmann::json SettingsOf(const RunSpec& day, int gateway, double scale = 1);
+nlohmann::json SettingsOf(const RunSpec& spec, int gateway, double scale = 1);
 // One line of a list in discovery's form. `epoch_ms`: Unix time of the day's start.
-nlohmann::json DiscoveryEntryOf(const RunSpec& day, const Discovery::Entry& entry, const std::string& address,
-                                int64_t epoch_ms);
+nlohmann::json DiscoveryEntryOf(const RunSpec& spec, const Discovery::Entry& entry,
+                                const std::string& address, int64_t epoch_ms);
 // The whole configuration file.
-nlohmann::json ConfigurationOf(const RunSpec& day, int gateway, const GatewayAddresses& addresses,
+nlohmann::json ConfigurationOf(const RunSpec& spec, int gateway, const GatewayAddresses& addresses,
                                const nlohmann::json& known, uint64_t seed, double scale = 1);
 std::string ZoneName(int zone);
 std::string GatewayName(int gateway);
