--- a/lab/checker/history.cpp
+++ b/lab/checker/history.cpp
@@ -1,4 +1,4 @@
-// A fact's name on the wire is the one in the table.
+// The table holds the names of event kinds in logs and history files.
 #include "checker/history.h"
 
 #include <algorithm>
@@ -15,7 +15,7 @@
     "starts", "ends",    "stops",    "goes-on", "fault", "heal",  "datagram",
     "heard",  "asked",   "answered", "gone",    "uses",  "whole", "holds",
     "drops",  "revoked", "owns",     "yields",  "view",  "kept",  "trusts"};
-constexpr size_t kMaxLogEventBytes = 4096;  // longer lines are no sayings of ours
+constexpr size_t kMaxLogEventBytes = 4096;  // longer lines are not history events
 
 template <typename T>
 bool ParseNumber(std::string_view text, T* value) {
@@ -59,7 +59,7 @@
     if (equals == std::string_view::npos && !field.empty()) *error = "a field without '='";
     if (equals != std::string_view::npos &&
         !fields.emplace(field.substr(0, equals), field.substr(equals + 1)).second)
-      *error = "a field twice";
+      *error = "a duplicate field";
     line.remove_prefix(std::min(line.size(), space + 1));
   }
   HistoryEvent event;
@@ -67,7 +67,7 @@
   auto number = [&](std::string_view key, auto* value, bool needed) {
     auto found = fields.find(key);
     if (found == fields.end() ? needed : !ParseNumber(found->second, value))
-      *error = std::string(key) + " is missing or no number";
+      *error = std::string(key) + " is missing or not a number";
   };
   number("at_us", &event.at, true);
   number("pid", &event.process, true);
@@ -79,7 +79,7 @@
       std::find_if(kKindNames.begin(), kKindNames.end(), [&](const char* n) { return fields["what"] == n; });
   if (name == kKindNames.end() ||
       static_cast<size_t>(name - kKindNames.begin()) < static_cast<size_t>(HistoryEventKind::kBudgetUsed)) {
-    *error = "what is nothing that a gateway says";
+    *error = "what does not name an event that a gateway logs";
   }
   if (!error->empty()) return std::nullopt;
   event.kind = static_cast<HistoryEventKind>(name - kKindNames.begin());
--- a/lab/checker/rules.cpp
+++ b/lab/checker/rules.cpp
@@ -1,4 +1,4 @@
-// The table.
+// The table of rules.
 #include "checker/rules.h"
 
 namespace lemonchute::lab {
--- a/lab/checker/rules/answers.cpp
+++ b/lab/checker/rules/answers.cpp
@@ -1,4 +1,5 @@
-// A request dies with its process, and waits while that is stopped; else one answer is due by its time.
+// Each request gets one final answer by its deadline. A request is excused if its process ends or is paused
+// before then, or if its client has left.
 #include <map>
 
 #include "checker/rules.h"
@@ -22,7 +23,7 @@
         auto request = requests.find(event.subject);
         if (request == requests.end() || request->second.due == kNever) {
           violations.push_back(
-              {"", event.subject + " was answered and never asked", event.at, kNever, event.gateway});
+              {"", event.subject + " was answered but never received", event.at, kNever, event.gateway});
         } else if (request->second.answered) {
           violations.push_back({"", event.subject + " was answered twice", event.at, kNever, event.gateway});
         } else {
@@ -32,7 +33,7 @@
       }
       case HistoryEventKind::kClientGone:
         requests[event.subject].excused = true;
-        break;  // even before it has arrived
+        break;  // possibly before the request has arrived
       case HistoryEventKind::kProcessEnded:
       case HistoryEventKind::kProcessPaused:
         for (auto& [subject, request] : requests) {
@@ -46,7 +47,7 @@
   for (const auto& [subject, request] : requests) {
     if (request.answered || request.excused || request.due >= limits.end || request.due == kNever) continue;
     violations.push_back(
-        {"", subject + " had no final answer in its time", request.due, kNever, request.gateway});
+        {"", subject + " had no final answer by its deadline", request.due, kNever, request.gateway});
   }
   return violations;
 }
--- a/lab/checker/rules/datagrams.cpp
+++ b/lab/checker/rules/datagrams.cpp
@@ -1,4 +1,5 @@
-// Each excess is named once a second, with who sent most of it.
+// No datagram is too long, and no gateway is sent more of them than it accepts. An excess is reported once a
+// second, with the main sender.
 #include <algorithm>
 #include <deque>
 #include <map>
--- a/lab/checker/rules/expired.cpp
+++ b/lab/checker/rules/expired.cpp
@@ -1,5 +1,6 @@
-// By the moment of use, not by that of asking: a process that was stopped wakes with what is no longer its
-// own.
+// No process uses a share that has expired, was revoked or was never its own. The time of use counts, not
+// that of the request for the share: a process that was paused may resume with a share that is no longer
+// valid.
 #include <map>
 #include <set>
 
@@ -14,7 +15,7 @@
   };
   using Key = std::tuple<int, int64_t, std::string>;
   std::map<Key, Share> shares;
-  std::set<std::string> shared_budgets;  // what is held by anyone at all: other uses need no part
+  std::set<std::string> shared_budgets;  // budgets of which anyone holds a share; using any other needs none
   for (const HistoryEvent& event : history.events()) {
     if (event.kind == HistoryEventKind::kShareHeld) shared_budgets.insert(event.subject);
   }
@@ -29,15 +30,15 @@
         if (shared_budgets.count(event.subject) == 0) break;
         auto share = shares.find(key);
         if (share == shares.end()) {
-          violations.push_back(
-              {"", event.subject + " was used without a part of it", event.at, kNever, event.gateway});
-        } else if (share->second.revoked) {
-          violations.push_back({"", event.subject + " was used after it had been taken back", event.at,
+          violations.push_back({"", event.subject + " was used without holding a share of it", event.at,
                                 kNever, event.gateway});
+        } else if (share->second.revoked) {
+          violations.push_back(
+              {"", event.subject + " was used after the share was revoked", event.at, kNever, event.gateway});
         } else if (event.at > share->second.until) {
           Micros late = event.at - share->second.until;
           violations.push_back(
-              {"", event.subject + " was used " + std::to_string(late / 1000) + " ms after it ran out",
+              {"", event.subject + " was used " + std::to_string(late / 1000) + " ms after the share expired",
                event.at, late, event.gateway});
         }
         break;
--- a/lab/checker/rules/memory.cpp
+++ b/lab/checker/rules/memory.cpp
@@ -1,5 +1,5 @@
-// A gateway may begin from nothing (amount 0), never from what a newer version of its own had replaced, nor
-// from what it never kept.
+// A gateway may start from nothing (amount 0), but not from a version that a newer one of its own had
+// replaced or that it never stored.
 #include <map>
 
 #include "checker/rules.h"
@@ -15,8 +15,8 @@
     if (event.kind != HistoryEventKind::kVersionLoaded || event.amount == 0 || event.amount == kept) continue;
     auto version = [](double amount) { return std::to_string(static_cast<int64_t>(amount)); };
     violations.push_back({"",
-                          event.subject + ": goes on from version " + version(event.amount) +
-                              ", the newest kept is " + version(kept),
+                          event.subject + ": continues from version " + version(event.amount) +
+                              ", but the newest stored is " + version(kept),
                           event.at, kNever, event.gateway});
   }
   return violations;
--- a/lab/checker/rules/owner.cpp
+++ b/lab/checker/rules/owner.cpp
@@ -1,4 +1,5 @@
-// An owner's time ends when it yields, when its term is over, or with its process where the term has no end.
+// At most one process owns a subject at a time. An ownership ends when it is released, when its term is over,
+// or with its process if the term has no end.
 #include <algorithm>
 #include <map>
 
--- a/lab/checker/rules/sum.cpp
+++ b/lab/checker/rules/sum.cpp
@@ -1,5 +1,6 @@
-// A part that was given counts until it expires, whatever became of its process: one that was killed may be
-// reborn with it, one that is stopped may go on. Only a part without an end dies with its process.
+// The shares of a budget never add up to more than its total. A share counts until it expires, even after its
+// process ends: a killed process may be restarted with it, and a paused one may resume. Only a share without
+// an expiry ends with its process.
 #include <algorithm>
 #include <map>
 
@@ -8,7 +9,7 @@
 namespace lemonchute::lab {
 namespace {
 
-constexpr double kRelativeTolerance = 1e-9;  // of the whole: sums of parts in floating point
+constexpr double kRelativeTolerance = 1e-9;  // of the total; for sums of shares in floating point
 
 struct Part {
   double amount = 0;
@@ -42,7 +43,7 @@
         event.kind == HistoryEventKind::kShareReleased || event.kind == HistoryEventKind::kShareRevoked ||
         event.kind == HistoryEventKind::kBudgetUsed || event.kind == HistoryEventKind::kProcessEnded;
     if (!relevant) return;
-    // Parts that ran out before now may have ended an excess.
+    // Shares that expired before now may have ended an excess.
     for (auto& [name, budget] : budgets_) UpdateExcess(name, &budget, event.at);
     std::pair<int, int64_t> process{event.gateway, event.process};
     switch (event.kind) {
@@ -78,7 +79,7 @@
   }
 
  private:
-  // Over every window at once: a store of the burst that fills at the rate never falls below nothing.
+  // Covers every window at once: a token bucket of the burst that refills at the rate never falls below 0.
   void CheckUse(const HistoryEvent& event) {
     Budget& budget = budgets_[event.subject];
     if (budget.total < 0 || budget.rate <= 0) return;
@@ -91,13 +92,13 @@
                            event.subject + ": used " + FormatNumber(-budget.tokens) + " beyond a burst of " +
                                FormatNumber(budget.total) + " at " + FormatNumber(budget.rate) + " a second",
                            event.at, kNever, event.gateway});
-    budget.tokens = 0;  // each excess is named once
+    budget.tokens = 0;  // report each excess once
   }
 
   void UpdateExcess(const std::string& name, Budget* budget, Micros at) {
     if (budget->total < 0) return;
     if (budget->exceeded_since != kNever) {
-      // It ended where enough of the parts had run out.
+      // The excess ended when enough of the shares had expired.
       Micros recovered_at = at;
       std::vector<Micros> expiries;
       for (const auto& [process, part] : budget->parts) {
@@ -124,7 +125,7 @@
   void ReportExcess(const std::string& name, Budget* budget, Micros to) {
     if (to > budget->exceeded_since) {
       violations_.push_back({"",
-                             name + ": all together may use " + FormatNumber(budget->peak) + " of " +
+                             name + ": the shares add up to " + FormatNumber(budget->peak) + " of " +
                                  FormatNumber(budget->total),
                              budget->exceeded_since, to - budget->exceeded_since, -1});
     }
--- a/lab/checker/rules/views.cpp
+++ b/lab/checker/rules/views.cpp
@@ -1,4 +1,5 @@
-// Judged from the last fault on: before that, views may differ. Who never says a view has none to compare.
+// All views agree within a limit after the last fault; before that they may differ. Processes that never log
+// a view are not compared.
 #include <map>
 
 #include "checker/rules.h"
@@ -7,7 +8,7 @@
 
 std::vector<FleetViolation> CheckViewsConverge(const History& history, const RuleLimits& limits) {
   using Process = std::pair<int, int64_t>;
-  std::map<Process, std::string> views;  // of those that live
+  std::map<Process, std::string> views;  // of live processes
   std::map<Process, bool> stopped;
   Micros last_fault = 0, last = 0, differ_since = kNever;
   std::vector<FleetViolation> violations;
@@ -20,7 +21,7 @@
     }
     return true;
   };
-  // Names what went on differing past the bound, up to `at`.
+  // Reports views that still differ at `at`, after the limit.
   auto check_bound = [&](Micros at) {
     if (differ_since == kNever) return;
     Micros deadline = std::max(differ_since, last_fault) + limits.convergence;
@@ -29,8 +30,9 @@
     for (const auto& [process, view] : views)
       view_list +=
           (view_list.empty() ? "" : ", ") + std::to_string(process.first) + " says " + view.substr(0, 40);
-    violations.push_back({"", "views differ past the bound: " + view_list, deadline, at - deadline, -1});
-    differ_since = at;  // named once for each stretch of the bound
+    violations.push_back(
+        {"", "views still differ after the limit: " + view_list, deadline, at - deadline, -1});
+    differ_since = at;  // report once per limit
   };
   for (const HistoryEvent& event : history.events()) {
     Process process{event.gateway, event.process};
--- a/lab/checker/timeline.cpp
+++ b/lab/checker/timeline.cpp
@@ -1,4 +1,4 @@
-// A stretch without an end lasts to the end of the history.
+// An interval that is not closed lasts until the end of the history.
 #include "checker/timeline.h"
 
 #include <algorithm>
--- a/lab/checker/timeline.h
+++ b/lab/checker/timeline.h
@@ -1,5 +1,5 @@
-// Owns how incidents become facts, and the part of a history that a report draws: who lived when, what was
-// wrong, and what was held.
+// Records site events in the history, and extracts the timeline that a report draws: when gateways ran, which
+// faults were active and which shares were held.
 #ifndef LEMONCHUTE_LAB_CHECKER_TIMELINE_H_
 #define LEMONCHUTE_LAB_CHECKER_TIMELINE_H_
 
@@ -9,10 +9,11 @@
 
 namespace lemonchute::lab {
 
-// Of an incident that the fleet has to bear; starts, ends and stops are told where they really happen.
+/// Records a site event that affects the fleet. Process starts, ends and pauses are recorded where they
+/// really happen.
 void RecordSiteEvent(const RunSpec& spec, const SiteEvent& event, History* history);
-// For each gateway the stretches in which it ran or was stopped, for each fault its stretch, for each budget
-// the sum of its parts over time. Bounded: at most 4,000 stretches and points in all.
+/// For each gateway the intervals in which it ran or was paused, for each fault its interval, for each budget
+/// the sum of its shares over time. At most 4,000 intervals and points in all.
 nlohmann::json BuildTimeline(const History& history, Micros end);
 
 }  // namespace lemonchute::lab
--- a/lab/model/backend.cpp
+++ b/lab/model/backend.cpp
@@ -1,6 +1,6 @@
-// Processor sharing with a progress clock: every running job has the same rate, so one sum tells them all,
-// and the next end is the smallest mark. A cold backend's rate changes all the time; it is taken anew every
-// 50 ms.
+// Processor sharing with a progress clock: every running job progresses at the same rate, so a single sum
+// serves them all, and the next job to end is the one with the lowest end progress. While a backend warms up
+// its rate changes continuously; it is recomputed every 50 ms.
 #include "model/backend.h"
 
 #include <algorithm>
@@ -8,10 +8,12 @@
 namespace lemonchute::lab {
 namespace {
 
-constexpr Micros kWarmUpStep =
-    50'000;  // a hundredth of the shortest warming, and of a tip's span a thirtieth
-constexpr uint64_t kHandshakeBit = uint64_t{1} << 63;  // ids of work that is nobody's
-constexpr double kWorkEpsilon = 1e-9;                  // seconds of work: below a microsecond of time
+// 1/100 of the shortest warm-up and 1/30 of the tipping window.
+constexpr Micros kWarmUpStep = 50'000;
+// Marks ids of work that belongs to no job.
+constexpr uint64_t kHandshakeBit = uint64_t{1} << 63;
+// Seconds of work; less than a microsecond of run time.
+constexpr double kWorkEpsilon = 1e-9;
 
 }  // namespace
 
@@ -38,7 +40,7 @@
   double capacity = std::max(1e-9, Capacity(now));
   auto running = static_cast<double>(running_.size()), slots = static_cast<double>(backend_.slots);
   double sharing = std::max(1.0, std::min(running + 1, slots) / backend_.cores);
-  // With no slot free, what waits goes first, and then half of a job of the same size.
+  // With no slot free, queued work goes first, then half of a job of the same size.
   double ahead = running < slots ? 0 : waiting_work_ + work_s / 2;
   return ahead / capacity + work_s * sharing * backend_.cores / capacity;
 }
@@ -80,7 +82,7 @@
 }
 
 Micros Backend::NextEventAt() const {
-  if (running_.empty()) return kNever;  // nothing runs, so nothing waits
+  if (running_.empty()) return kNever;  // nothing runs, so nothing is queued
   double rate = RatePerJob(updated_at_);
   if (rate <= 0) return kNever;
   Micros next =
--- a/lab/model/choice.h
+++ b/lab/model/choice.h
@@ -1,5 +1,5 @@
-// Owns the truth on choices of a backend: the regret of one, and whether a refused try could have had a slot.
-// `Listed` tells which backends the gateway had to choose from.
+// Ground truth on the choice of a backend: the regret of a choice, and whether a refused try could have had a
+// slot. `Listed` is a predicate that tells which backends the gateway knew.
 #ifndef LEMONCHUTE_LAB_MODEL_CHOICE_H_
 #define LEMONCHUTE_LAB_MODEL_CHOICE_H_
 
@@ -10,11 +10,13 @@
 
 namespace lemonchute::lab {
 
-// How much longer a request expects at the chosen backend than at the best one known, and the best there was.
+/// How much longer a request is expected to take at the chosen backend than at the best known backend, and
+/// than at the best backend of all.
 struct Regret {
   double known_s = 0, best_s = 0;
 };
 
+/// The regret of choosing backend `chosen` for a request of `work_s`.
 template <typename Listed>
 Regret RegretOf(const std::vector<Backend>& backends, size_t chosen, double work_s, Micros now,
                 Listed listed) {
@@ -28,6 +30,7 @@
   return {own - known, own - best};
 }
 
+/// Whether any backend that the gateway knew accepts work and has a free slot.
 template <typename Listed>
 bool AnySlotFree(const std::vector<Backend>& backends, Listed listed) {
   for (size_t b = 0; b < backends.size(); ++b) {
--- a/lab/model/client_router.cpp
+++ b/lab/model/client_router.cpp
@@ -1,5 +1,5 @@
-// The weights of a set are ranks in a random order that changes with each epoch of shift_s; rank r weighs
-// (r + 1)^-skew. An order is a hash of customer and epoch, so nothing has to be kept.
+// The weights of a customer's gateways are ranks in a random order that changes with each epoch of shift_s;
+// rank r has weight (r + 1)^-skew. The order is seeded by customer and epoch, so no state is kept.
 #include "model/client_router.h"
 
 #include <algorithm>
@@ -18,7 +18,7 @@
 int ClientRouter::PickGateway(uint32_t arrival, int number, Micros now) const {
   uint32_t customer = spec_->arrivals[arrival].customer;
   const Customer& c = spec_->customers[customer];
-  // The epochs of customers are out of step with one another.
+  // The epochs of different customers are out of phase.
   Random customer_random(spec_->seed, Stream::kClients, (uint64_t{1} << 38) + customer);
   double phase = customer_random.Uniform(0, spec_->shift_s), shift_draw = customer_random.Uniform(0, 1);
   auto epoch = static_cast<uint64_t>((ToSeconds(now) + phase) / spec_->shift_s) + 1;
@@ -58,7 +58,8 @@
 
 void ClientRouter::OnGatewayDraining(int gateway, Micros now) {
   Micros& until = visible_until_[static_cast<size_t>(gateway)];
-  until = std::min(until, now + FromSeconds(0.3));  // asks ten times a second, and stops 0.2 s after a no
+  // The front polls ten times a second and stops routing 0.2 s after a negative answer.
+  until = std::min(until, now + FromSeconds(0.3));
 }
 
 void ClientRouter::OnGatewayReady(int gateway) { visible_until_[static_cast<size_t>(gateway)] = kNever; }
@@ -92,7 +93,7 @@
     wait = std::max(wait, std::min(retry_after_s, spec_->max_retry_after_s));
   Micros at = now + FromSeconds(wait);
   double deadline = spec_->classes[static_cast<size_t>(a.class_index)].deadline_s;
-  // With less than a millisecond left there is nothing to wait for.
+  // With less than a millisecond left a retry is pointless.
   return at + 1000 < a.at + FromSeconds(deadline) ? std::optional(at) : std::nullopt;
 }
 
--- a/lab/model/client_router.h
+++ b/lab/model/client_router.h
@@ -1,6 +1,6 @@
-// Owns what clients and their front do: through which gateway a try comes, how long it waits, and whether and
-// when a failed one comes again. A client's habits follow from its request's number, not from the order of
-// events.
+// Behaviour of clients and of the front that routes them: which gateway a try goes to, how long it waits, and
+// whether and when a failed try is retried. Random choices depend on the request's number only, not on the
+// order of events.
 #ifndef LEMONCHUTE_LAB_MODEL_CLIENT_ROUTER_H_
 #define LEMONCHUTE_LAB_MODEL_CLIENT_ROUTER_H_
 
@@ -11,31 +11,33 @@
 
 namespace lemonchute::lab {
 
+/// Routes tries to gateways and decides on timeouts and retries.
 class ClientRouter {
  public:
   explicit ClientRouter(const RunSpec& spec);
 
-  // The gateway of the set for a try that is sent now; -1 where the front sees none of them up.
+  /// The gateway for a try that is sent now; -1 if the front sees none of the customer's gateways up.
   int PickGateway(uint32_t arrival, int number, Micros now) const;
-  // A gateway's process has ended or answers readiness with a no; and is ready again.
+  /// The gateway's process has ended (Down), reports that it is not ready (Draining), or is ready again
+  /// (Ready).
   void OnGatewayDown(int gateway, Micros now);
   void OnGatewayDraining(int gateway, Micros now);
   void OnGatewayReady(int gateway);
 
-  // A try's own patience, from its sending.
+  /// How long a try waits for its answer, from when it is sent.
   Micros TryTimeout(uint32_t arrival, Micros now) const;
-  // Whether that try goes on using a connection to a gateway that was told to end.
+  /// Whether the try keeps using an open connection to a gateway that was told to terminate.
   bool KeepsConnectionUntilEnd(uint32_t arrival, int number) const;
-  // Where the client leaves before its patience ends: when, from its sending.
+  /// When the client leaves before its timeout, from when the try is sent; none if it does not.
   std::optional<Micros> LeavesAfter(uint32_t arrival, int number, Micros patience) const;
-  // When the client tries again after a failure; none where it does not. `retry_after_s` is 0 for no advice.
+  /// When the client retries after a failure; none if it does not. A `retry_after_s` of 0 means no advice.
   std::optional<Micros> RetryAt(uint32_t arrival, int number, Micros now, double retry_after_s) const;
 
  private:
   Random RandomFor(uint32_t arrival, int number, uint64_t purpose) const;
 
   const RunSpec* spec_;
-  std::vector<Micros> visible_until_;  // by when the front has noticed that it is down; kNever: it is up
+  std::vector<Micros> visible_until_;  // when the front notices that the gateway is down; kNever if it is up
 };
 
 }  // namespace lemonchute::lab
--- a/lab/model/counter.cpp
+++ b/lab/model/counter.cpp
@@ -1,5 +1,5 @@
-// The line of a part is a moment until which it is busy; names that are past their time are swept now and
-// then.
+// The queue of a partition is represented by the time until which it is busy. Expired names are removed at
+// most once a second.
 #include "model/counter.h"
 
 #include <xxhash.h>
--- a/lab/model/counter.h
+++ b/lab/model/counter.h
@@ -1,5 +1,5 @@
-// Owns the counter service: numbers by name over a few parts, each a line of calls served in turn. It answers
-// when a call has had its turn; time-outs are its callers' affair.
+// Model of the counter service: named numbers spread over a few partitions, each of which serves its queue of
+// calls in order. It replies when a call has been served; time-outs are up to the callers.
 #ifndef LEMONCHUTE_LAB_MODEL_COUNTER_H_
 #define LEMONCHUTE_LAB_MODEL_COUNTER_H_
 
@@ -12,21 +12,23 @@
 
 namespace lemonchute::lab {
 
+/// The shared counter service.
 class Counter {
  public:
   enum class ReplyKind { kTotal, kBusy, kNoReply };
   struct Reply {
     ReplyKind kind = ReplyKind::kNoReply;
-    Micros at = kNever;  // when the answer leaves; never where it is lost
+    Micros at = kNever;  // when the reply is sent; kNever if it is lost
     double total = 0;
   };
 
   explicit Counter(const RunSpec& spec);
 
-  // Calls have to come in order of time. `keep_ms` is the life of a new name, at most a minute.
+  /// Calls have to be made in order of time. `ttl_ms` is the lifetime of a new name, at most one minute.
   Reply Call(Micros now, std::string_view name, double amount, double ttl_ms);
-  // While down it says nothing; when it comes back it is empty.
+  /// While down the service does not reply; when it comes back it is empty.
   void SetDown(bool down);
+  /// The share of replies that are lost from now on, if larger than the run's permanent share.
   void SetLostShare(double share) { lost_share_ = share; }
 
  private:
--- a/lab/model/discovery.cpp
+++ b/lab/model/discovery.cpp
@@ -1,4 +1,4 @@
-// What is told late stays in order: a gateway hears of a version no earlier than of the one before it.
+// Late notifications stay in order: a gateway is never notified of a version before an earlier one.
 #include "model/discovery.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 namespace lemonchute::lab {
 namespace {
 
-// From the end of a silence to the first word: a watch is there within 0.1 s of it.
+// From the end of a silence to the first notification: a gateway's watch is back within 0.1 s.
 constexpr Micros kAfterSilence = 100'000;
 
 }  // namespace
@@ -20,12 +20,13 @@
   double lo = start ? spec_->discovery_start_notice_lo : spec_->discovery_notice_lo;
   double hi = start ? spec_->discovery_start_notice_hi : spec_->discovery_notice_hi;
   changes_.push_back({now, entry});
-  // The list learns of it once, for all; each gateway then a little later.
+  // The list picks up the change once for all; each gateway is notified a little later.
   double notice = random_.Uniform(lo, hi);
   std::vector<Micros> row;
   bool withheld = false;
   for (size_t g = 0; g < cut_.size(); ++g) {
-    // While it is silent nothing is drawn, so that days without a cut stay as they are.
+    // Nothing is drawn during a silence. This keeps the random stream, and so the results of runs without a
+    // cut path, unchanged.
     Micros at = silent_ ? kNever : now + FromSeconds(notice + random_.Uniform(0, spec_->discovery_agent_s));
     if (IsWithheldFrom(g)) at = kNever, withheld = true;
     if (!notified_at_.empty()) at = std::max(at, notified_at_.back()[g]);
@@ -37,7 +38,7 @@
   return static_cast<int>(changes_.size());
 }
 
-// What was not told yet waits for the end of the silence.
+// Pending notifications wait for the end of the silence.
 void Discovery::Withhold(size_t gateway, Micros now) {
   for (size_t v = 0; v < notified_at_.size(); ++v) {
     if (notified_at_[v][gateway] > now) notified_at_[v][gateway] = kNever, withheld_[v] = 1;
--- a/lab/model/discovery.h
+++ b/lab/model/discovery.h
@@ -1,5 +1,6 @@
-// Owns discovery: the list of backends in versions, and when each gateway is told of each. Gateways are told
-// in order, each after a delay of its own; while discovery is silent nobody is told.
+// Model of the discovery service: the versioned list of backends, and when each gateway is notified of each
+// version. Gateways are notified in order of versions, each after its own delay. While discovery is silent,
+// no gateway is notified.
 #ifndef LEMONCHUTE_LAB_MODEL_DISCOVERY_H_
 #define LEMONCHUTE_LAB_MODEL_DISCOVERY_H_
 
@@ -9,14 +10,16 @@
 
 namespace lemonchute::lab {
 
+/// State of a backend in discovery's list.
 enum class ListState { kActive, kLeaving, kLeft };
 
+/// The discovery service and the notifications of its changes.
 class Discovery {
  public:
   struct Entry {
     int backend = 0;
     ListState state = ListState::kActive;
-    Micros since = 0;  // its last start; 0: long ago
+    Micros since = 0;  // its last start; 0 if before the run
   };
   struct Change {
     Micros at = 0;
@@ -25,24 +28,25 @@
 
   explicit Discovery(const RunSpec& spec);
 
-  // Version numbers are 1 + the place in changes(); version 0 is the list of the start.
-  // For each gateway, when it is told: `told[g]`; kNever while discovery is silent.
+  /// Publishes a change and returns its version: 1 + its index in changes(); version 0 is the initial list.
+  /// `notified_at` receives the time of notification by gateway, kNever while discovery is silent.
   int Publish(Micros now, const Entry& entry, std::vector<Micros>* notified_at);
-  // Silent ends: what waited is told now. Gives each gateway's moment for the newest version.
+  /// Starts or ends a silence. At its end, gateways are notified of the pending versions. `notified_at`
+  /// receives each gateway's time for the newest version.
   void SetSilent(bool silent, Micros now, std::vector<Micros>* notified_at);
 
-  // The same for one gateway alone, whose path to discovery passes nothing.
+  /// The same for one gateway, whose path to discovery is cut.
   void SetCut(int gateway, bool cut, Micros now);
 
-  // The newest version that `gateway` has been told of by now.
+  /// The newest version that `gateway` has been notified of by `now`.
   int VersionAt(int gateway, Micros now) const;
-  // When `gateway` was or will be told of the version (from 1).
+  /// When `gateway` was or will be notified of the version (from 1).
   Micros NotifiedAt(int gateway, int version) const {
     return notified_at_[static_cast<size_t>(version - 1)][static_cast<size_t>(gateway)];
   }
-  // Whether a silence kept that version from some gateways.
+  /// Whether a silence withheld the version from any gateway.
   bool Withheld(int version) const { return withheld_[static_cast<size_t>(version - 1)] != 0; }
-  // The whole list as of a version, those that have left not among it.
+  /// The full list as of a version, without backends that have left.
   std::vector<Entry> ListAt(int version) const;
   const std::vector<Change>& changes() const { return changes_; }
 
@@ -56,7 +60,7 @@
   bool silent_ = false;
   std::vector<char> cut_;  // by gateway
   std::vector<Change> changes_;
-  std::vector<std::vector<Micros>> notified_at_;  // for each version, for each gateway
+  std::vector<std::vector<Micros>> notified_at_;  // by version, then by gateway
   std::vector<char> withheld_;                    // by version
 };
 
--- a/lab/model/disk.cpp
+++ b/lab/model/disk.cpp
@@ -1,5 +1,5 @@
-// Names and bytes are safe apart from each other, as on a file system: a file that was synced and not its
-// name is lost, a name that was synced and not its file holds what chance left of the bytes.
+// Names and content become durable independently, as on a file system: a synced file whose name was not
+// synced is lost, and a synced name whose file was not synced holds whatever bytes happened to survive.
 #include "model/disk.h"
 
 #include <set>
@@ -79,7 +79,7 @@
   for (auto& [file_id, file] : files_) {
     if (file.content == file.synced_content && !file.overwritten) continue;
     size_t kept =
-        file.overwritten ? 0 : file.synced_content.size();  // what is written over may be gone altogether
+        file.overwritten ? 0 : file.synced_content.size();  // overwritten content may be lost altogether
     kept += static_cast<size_t>(
         random->UniformInt(static_cast<int>(std::max(file.content.size(), kept) - kept) + 1));
     bool keep_old = file.overwritten && random->Chance(0.5);
--- a/lab/model/ground_truth.cpp
+++ b/lab/model/ground_truth.cpp
@@ -1,5 +1,6 @@
-// Stores as BENCH and PROTOCOL word them: full at the start, filled evenly, never above the burst; a try
-// beyond the quota takes nothing; a ceiling's store takes the guess of every try that is sent on.
+// Token buckets as BENCH and PROTOCOL define them: full at the start, refilled evenly, never above the burst.
+// A try beyond the quota takes nothing; the bucket of a ceiling takes the estimated units of every forwarded
+// try.
 #include "model/ground_truth.h"
 
 #include <algorithm>
@@ -7,7 +8,7 @@
 namespace lemonchute::lab {
 
 namespace {
-// Seconds of the ceiling's rate by which its slack is wider on sockets (PROTOCOL, the rules on sockets).
+// On sockets the ceiling's slack is wider by this many seconds of its rate (PROTOCOL, the rules on sockets).
 constexpr double kSocketSlackS = 0.15;
 }  // namespace
 
--- a/lab/model/ground_truth.h
+++ b/lab/model/ground_truth.h
@@ -1,5 +1,5 @@
-// Owns the truth on quotas: for each customer the one store that all gateways together draw on, its ceiling
-// and the attempts that are really out. No gateway sees any of it.
+// Ground truth on quotas: for each customer the single token bucket that all gateways share, its ceiling and
+// the attempts really in flight. No gateway sees any of it.
 #ifndef LEMONCHUTE_LAB_MODEL_GROUND_TRUTH_H_
 #define LEMONCHUTE_LAB_MODEL_GROUND_TRUTH_H_
 
@@ -9,25 +9,27 @@
 
 namespace lemonchute::lab {
 
-// How a try stands to its customer's quota at the moment at which it is first sent on or turned away.
+/// How a try relates to its customer's quota when it is first forwarded or refused.
 enum class QuotaStatus { kWithinQuota, kOverRate, kOverCap };
 
+/// The true state of all quotas.
 class GroundTruth {
  public:
   explicit GroundTruth(const RunSpec& spec);
 
-  // How a try of so many units would stand now; nothing changes.
+  /// The status that a try of this many units would have now; changes nothing.
   QuotaStatus StatusOf(uint32_t customer, Micros now, double units) const;
-  // A try is first sent on: takes its units where it is inside. `ceiling_left` is what the ceiling's store
-  // holds after that, above its slack: below nought the rule is broken. Large where there is no ceiling.
+  /// A try is forwarded for the first time: takes its units if it is within the quota. `ceiling_margin`
+  /// receives what is left in the ceiling's bucket plus its slack; below 0 the ceiling rule is violated.
+  /// Large if there is no ceiling.
   QuotaStatus Forward(uint32_t customer, Micros now, double estimated_units, double* ceiling_margin);
   void OnAttemptSent(uint32_t customer) { ++states_[customer].attempts_in_flight; }
   void OnAttemptEnded(uint32_t customer) { --states_[customer].attempts_in_flight; }
-  // The first good answer of a try inside the quota tells the true units.
+  /// The first successful answer to a try within the quota reveals the true units.
   void Settle(uint32_t customer, Micros now, double estimated_units, double units);
-  // Share of its store that a customer has now.
+  /// The share of the customer's bucket that is filled.
   double TokenShare(uint32_t customer, Micros now) const;
-  void ScaleQuotas(double factor);  // every quota from here on
+  void ScaleQuotas(double factor);  // applies to every quota from now on
 
  private:
   struct QuotaState {
@@ -46,8 +48,8 @@
   std::vector<QuotaState> states_;
 };
 
-// For each arrival, whether one gateway that saw all first tries would let it in: what is asked inside
-// quotas.
+/// For each arrival, whether a single gateway that saw all first tries would admit it. This defines the load
+/// offered within quotas.
 std::vector<bool> WithinQuotaByFirstTries(const RunSpec& spec);
 
 }  // namespace lemonchute::lab
--- a/lab/model/losses.cpp
+++ b/lab/model/losses.cpp
@@ -1,4 +1,4 @@
-// The names of losses in reports.
+// Names of the losses in reports.
 #include "model/losses.h"
 
 namespace lemonchute::lab {
--- a/lab/model/losses.h
+++ b/lab/model/losses.h
@@ -1,4 +1,4 @@
-// Owns where worth went: for each request that was asked for inside its quota, what became of its latest try.
+// Accounts for lost value: for each request that was within its quota, the result of its latest try.
 #ifndef LEMONCHUTE_LAB_MODEL_LOSSES_H_
 #define LEMONCHUTE_LAB_MODEL_LOSSES_H_
 
@@ -9,27 +9,31 @@
 
 namespace lemonchute::lab {
 
+/// The result of a request's latest try, as a loss of value.
 enum class Loss : uint8_t {
-  kUnanswered,          // nothing came of it by the day's end
-  kServed,              // no loss
-  kRefusedNeedlessly,   // refused, though its true store held the units and a known backend had a free slot
-  kRefusedForQuota,     // refused rightly: retries and others of its customer had used the units
-  kRefusedForCap,       // likewise, the cap on attempts out
-  kRefusedNoCapacity,   // refused with no free slot anywhere
-  kServedOverQuota,     // served, but sent on beyond the quota: worth nothing
+  kUnanswered,          // no result by the end of the run
+  kServed,              // not a loss
+  kRefusedNeedlessly,   // refused although the true quota had the units and a known backend had a free slot
+  kRefusedForQuota,     // rightly refused: retries and other requests of the customer had used the units
+  kRefusedForCap,       // rightly refused: the cap on attempts in flight was reached
+  kRefusedNoCapacity,   // refused, and no backend had a free slot
+  kServedOverQuota,     // served, but forwarded beyond the quota, so worth nothing
   kServedLate,          // served after its aim
-  kFailed,              // an error, or refused after attempts
-  kGatewayUnreachable,  // its gateway was not there
-  kNoAnswer,            // no answer in its time, or its client left early
+  kFailed,              // an error, or refused after attempts were made
+  kGatewayUnreachable,  // the gateway could not be reached
+  kNoAnswer,            // no answer in time, or the client left early
   kCount
 };
+/// The name in reports.
 const char* Name(Loss loss);
 
+/// The latest result of each arrival.
 class Losses {
  public:
   explicit Losses(const RunSpec& spec) : last_loss_(spec.arrivals.size(), Loss::kUnanswered) {}
   void Set(uint32_t arrival, Loss loss) { last_loss_[arrival] = loss; }
-  // By name, the share of `offered`; `worth` is an arrival's, nought where it does not count.
+  /// The lost share of `offered` by name of loss. `worth(i)` is the value of arrival i, or 0 if it does not
+  /// count.
   template <typename Worth>
   nlohmann::json Report(double offered, Worth worth) const {
     std::vector<double> loss_sums(static_cast<size_t>(Loss::kCount), 0);
--- a/lab/model/network.h
+++ b/lab/model/network.h
@@ -1,4 +1,5 @@
-// Owns the ways between machines: delay by zones with jitter, and zones that are cut off from the others.
+// Model of the network between machines: delays by zone with jitter, and zones that are cut off from the
+// others.
 #ifndef LEMONCHUTE_LAB_MODEL_NETWORK_H_
 #define LEMONCHUTE_LAB_MODEL_NETWORK_H_
 
@@ -8,17 +9,19 @@
 
 namespace lemonchute::lab {
 
+/// Draws network delays and tracks cut zones.
 class Network {
  public:
   explicit Network(const RunSpec& spec)
       : spec_(&spec), random_(spec.seed, Stream::kNetwork), zone_cut_(static_cast<size_t>(spec.zones), 0) {}
 
-  // One way. The gateway's and the other's zone; the counter and discovery stand in zone 0.
+  /// Delay in one direction. The counter and discovery are in zone 0.
   Micros OneWayDelay(int from_zone, int to_zone) {
     return DrawDelay(from_zone == to_zone ? spec_->same_zone_s : spec_->cross_zone_s);
   }
   Micros ClientDelay() { return DrawDelay(spec_->client_s); }
   void SetZoneCut(int zone, bool cut) { zone_cut_[static_cast<size_t>(zone)] = cut ? 1 : 0; }
+  /// Whether traffic between the zones passes.
   bool Passes(int from_zone, int to_zone) const {
     return from_zone == to_zone ||
            (zone_cut_[static_cast<size_t>(from_zone)] == 0 && zone_cut_[static_cast<size_t>(to_zone)] == 0);
--- a/lab/model/paths.cpp
+++ b/lab/model/paths.cpp
@@ -1,4 +1,4 @@
-// The few faults that are on are asked one by one: thousands of paths need no state of their own.
+// The few active faults are evaluated on each query, so that thousands of paths need no state of their own.
 #include "model/paths.h"
 
 #include <algorithm>
@@ -6,9 +6,9 @@
 namespace lemonchute::lab {
 namespace {
 
-// The least time after which a kernel sends a lost packet again (Linux, TCP_RTO_MIN).
+// Shortest time after which the kernel retransmits a lost packet (Linux, TCP_RTO_MIN).
 constexpr double kRetransmitTimeoutS = 0.2;
-// A datagram that is overtaken comes so many of its ways later: behind those that were sent next.
+// An overtaken datagram arrives this many delays later, which puts it behind those sent next.
 constexpr double kReorderDelayFactor = 4;
 
 bool Contains(const std::vector<int>& numbers, int number) {
@@ -52,7 +52,7 @@
                    (remote == RemoteParty::kCounter || remote == RemoteParty::kDiscovery ||
                     Contains(fault.others, other));
     bool applies = matches && (out ? affects_outbound : affects_inbound);
-    // Between gateways a path has two near ends: the same fault, seen from the other one.
+    // A path between gateways has two near ends: the same fault seen from the other one.
     if (remote == RemoteParty::kGateways && Contains(fault.gateways, other) &&
         Contains(fault.others, gateway))
       applies |= out ? affects_inbound : affects_outbound;
--- a/lab/model/run_checker.cpp
+++ b/lab/model/run_checker.cpp
@@ -1,4 +1,4 @@
-// The rules as PROTOCOL, TERMS and WIRE word them, and G as BENCH and BRIEF do.
+// Rules as PROTOCOL, TERMS and WIRE define them; the score G as BENCH and BRIEF define it.
 #include "model/run_checker.h"
 
 #include <xxhash.h>
@@ -9,15 +9,17 @@
 namespace {
 
 constexpr size_t kMaxViolations = 100;
-// What discovery has to tell counts as told this long after at the latest (PROTOCOL, Figures).
+// An announcement of discovery counts as received after this time at the latest (PROTOCOL, Figures).
 constexpr Micros kMaxNoticeDelay = 6 * kSecond;
-constexpr Micros kAnswerInTransit =
-    50'000;  // an attempt on its way while the answer is; the slack on sockets
-constexpr double kInformedShareLimit =
-    2.0 / 3;  // of a push that tips a backend: by gateways told of its start, it is a breach
+// An attempt may be in transit while the answer is; the slack on sockets.
+constexpr Micros kAnswerInTransit = 50'000;
+// A tipped backend is a violation if at least this share of its work came from gateways told of its start.
+constexpr double kInformedShareLimit = 2.0 / 3;
 constexpr Micros kScoringStart = kSecond;
-constexpr Micros kAnswerGrace = 500'000;  // later than this past its time, a request is lost (BENCH)
-constexpr double kWorstWindowS = 10;      // the worst one weighs
+// A request that is unanswered this long after its time is lost (BENCH).
+constexpr Micros kAnswerGrace = 500'000;
+// Length of the worst window in the score.
+constexpr double kWorstWindowS = 10;
 
 double Share(double part, double of) { return of > 0 ? part / of : 0; }
 double Round(double x) { return std::round(x * 1e6) / 1e6; }
@@ -68,7 +70,7 @@
          spec_->plans[static_cast<size_t>(spec_->customers[a.customer].plan)].price * units;
 }
 
-// Inside quotas its worth; beyond them what its plan still gives for it.
+// Within quotas the full worth; beyond them what the plan still pays for it.
 double RunChecker::OfferedWorth(uint32_t arrival) const {
   const Arrival& a = spec_->arrivals[arrival];
   return Worth(arrival, a.units) *
@@ -132,7 +134,7 @@
 }
 
 ListState RunChecker::AnnouncedState(int gateway, int backend, Micros now, Micros* since) const {
-  auto* self = const_cast<RunChecker*>(this);  // the index by backend is only a faster way to the same list
+  auto* self = const_cast<RunChecker*>(this);  // the index by backend is a cache of discovery's list
   for (; indexed_versions_ < discovery_->changes().size(); ++indexed_versions_) {
     self->versions_by_backend_[static_cast<size_t>(discovery_->changes()[indexed_versions_].entry.backend)]
         .push_back(static_cast<int>(indexed_versions_) + 1);
@@ -141,7 +143,8 @@
   for (auto version = versions.rbegin(); version != versions.rend(); ++version) {
     const Discovery::Change& change = discovery_->changes()[static_cast<size_t>(*version - 1)];
     Micros told_at = discovery_->NotifiedAt(gateway, *version);
-    // What a silent or refusing discovery keeps back, nobody can know; only what is late counts as told.
+    // Gateways cannot know what a silent or refusing discovery withholds. Only late announcements count as
+    // made.
     if (!discovery_->Withheld(*version)) told_at = std::min(told_at, change.at + kMaxNoticeDelay);
     if (told_at > now) continue;
     *since = std::max(told_at, gateway_started_at_[static_cast<size_t>(gateway)]);
@@ -156,20 +159,20 @@
   Micros since = 0, grace = FromSeconds(spec_->drain_grace_s + 0.05);  // 50 ms longer on sockets
   if (AnnouncedState(t.gateway, backend, now, &since) != ListState::kActive && now > since + grace) {
     AddViolation("drain", now, id,
-                 "sent to " + spec_->backends[static_cast<size_t>(backend)].name + " " +
+                 "attempt sent to " + spec_->backends[static_cast<size_t>(backend)].name + " " +
                      std::to_string(ToSeconds(now - since)) +
-                     " s after being told that it drains or is gone");
+                     " s after the gateway was told that it is draining or gone");
   }
   if (t.outcome && now > t.ended_at + kAnswerInTransit) {
     AddViolation("duplicate", now, id,
-                 "an attempt for a request that had its final answer " +
-                     std::to_string(ToSeconds(now - t.ended_at)) + " s before");
+                 "attempt for a request that had its final answer " +
+                     std::to_string(ToSeconds(now - t.ended_at)) + " s earlier");
   }
   auto offline = offline_since_.find(backend);
   if (offline != offline_since_.end() && now > offline->second + FromSeconds(1.05)) {
     AddViolation("drain", now, id,
-                 "sent to " + spec_->backends[static_cast<size_t>(backend)].name +
-                     ", which an operator had taken out");
+                 "attempt sent to " + spec_->backends[static_cast<size_t>(backend)].name +
+                     ", which an operator had taken offline");
   }
 }
 
@@ -178,18 +181,18 @@
   const Arrival& a = spec_->arrivals[t.arrival];
   UpdateDigest('a', now, id, static_cast<uint64_t>(backend));
   if (t.received_at == kNever)
-    AddViolation("duplicate", now, id, "an attempt for a request that its gateway had not been given");
+    AddViolation("duplicate", now, id, "attempt for a request that its gateway had not received");
   if (t.attempts >= spec_->try_limit)
     AddViolation("duplicate", now, id,
-                 "attempt " + std::to_string(t.attempts + 1) + " where " + std::to_string(spec_->try_limit) +
-                     " are allowed");
+                 "attempt " + std::to_string(t.attempts + 1) + " of a request limited to " +
+                     std::to_string(spec_->try_limit) + " attempts");
   if (t.attempts++ == 0) {
     double ceiling = 0;
     t.quota_status = ground_truth_.Forward(a.customer, now, a.estimated_units, &ceiling);
     if (ceiling < 0)
       AddViolation("ceiling", now, id,
-                   "customer " + std::to_string(a.customer) + " is " + std::to_string(-ceiling) +
-                       " units past its ceiling and slack");
+                   "customer " + std::to_string(a.customer) + " exceeds its ceiling and slack by " +
+                       std::to_string(-ceiling) + " units");
     CountDecision(t.quota_status == QuotaStatus::kWithinQuota ? DecisionKind::kAdmittedWithinQuota
                   : t.quota_status == QuotaStatus::kOverRate  ? DecisionKind::kAdmittedOverRate
                                                               : DecisionKind::kAdmittedOverCap,
@@ -240,7 +243,7 @@
   open_tries_[static_cast<size_t>(t.gateway)].erase(id);
   bool held_unsent = now - t.sent_at > t.timeout / 2 && t.attempts == 0;
   if (outcome == TryOutcome::kServed && t.attempts == 0)
-    AddViolation("one answer", now, id, "served, though no attempt reached a backend");
+    AddViolation("one answer", now, id, "served although no attempt reached a backend");
   if (outcome == TryOutcome::kServed && !past_timeout) {
     ++served_;
     latency_(std::max(2e-4, ToSeconds(now - t.sent_at)));
@@ -311,7 +314,7 @@
   std::set<uint32_t> open = open_tries_[static_cast<size_t>(gateway)];
   for (uint32_t id : open) {
     if (tries_[id].received_at > since)
-      OnTryLost(now, id, "SIGKILL found it unanswered, taken late after SIGTERM");
+      OnTryLost(now, id, "received after SIGTERM and still unanswered at SIGKILL");
   }
 }
 
@@ -325,8 +328,8 @@
   if (tip.informed_share < kInformedShareLimit) return;
   char text[160];
   std::snprintf(text, sizeof(text),
-                " fell over: sent %.2f s of work in %.1f s where it bears %.2f, %.1f s after its start, "
-                "%.0f%% by gateways that were told",
+                " tipped over: received %.2f s of work in %.1f s, its limit is %.2f, %.1f s after its start; "
+                "%.0f%% came from gateways told of it",
                 tip.received_s, spec_->tip_s, tip.limit_s, tip.age_s, 100 * tip.informed_share);
   AddViolation("cold backend", now, UINT32_MAX, spec_->backends[static_cast<size_t>(backend)].name + text);
 }
@@ -367,7 +370,7 @@
 nlohmann::json RunChecker::Report(Micros now) const {
   nlohmann::json report;
   double offered = 0, served = 0;
-  // Of a day that ended early, what was asked for until then.
+  // For a run that ended early, only what was requested until then.
   double asked_s = 0, first_tries = 0;
   std::vector<double> plan_offered(spec_->plans.size(), 0);
   for (uint32_t i = 0; i < spec_->arrivals.size(); ++i) {
@@ -393,7 +396,7 @@
     report["plans"][spec_->plans[p].name] = Round(Share(plan_served_[p], plan_offered[p]));
     if (plan_offered[p] > 0) worst_plan = std::min(worst_plan, plan_served_[p] / plan_offered[p]);
   }
-  // Worth inside quotas that failed, or was served, only after its aim had gone by.
+  // Worth within quotas that failed or was served only after its aim.
   std::vector<Micros> last(spec_->arrivals.size(), 0);
   for (const Try& t : tries_)
     last[t.arrival] = std::max(last[t.arrival], t.ended_at == kNever ? 0 : t.ended_at);
@@ -462,8 +465,8 @@
   report["refused_share"] = Round(Share(static_cast<double>(refused_), static_cast<double>(tries_.size())));
   report["refused_with_half_share"] =
       Round(Share(static_cast<double>(refused_at_half_tokens_), static_cast<double>(refused_)));
-  // What all gateways added to counts, over the units that they sent on: attempts that are told as out and
-  // back again add up to nothing.
+  // All increments sent to the counter over the units forwarded. Attempts reported as in flight and then as
+  // ended add up to 0.
   report["told_over_sent"] = Round(Share(units_reported_, units_settled_));
   report["units_beyond_share"] = Round(Share(units_over_quota_, units_forwarded_));
   report["tries_a_request"] = Round(Share(static_cast<double>(tries_.size()), first_tries));
--- a/lab/model/run_spec.cpp
+++ b/lab/model/run_spec.cpp
@@ -1,5 +1,6 @@
-// Draws a day. What customers ask for follows TERMS: most use a part of their quota, some nearly all, some
-// ask for more all day or in spells; each asks by a Poisson process of its present rate.
+// Draws a run specification. Customers ask for load as TERMS describes it: most use a part of their quota,
+// some nearly all of it, some ask for more than it all the time or in spikes. Requests of a customer form a
+// Poisson process with its current rate.
 #include "model/run_spec.h"
 
 #include <algorithm>
@@ -8,7 +9,7 @@
 namespace lemonchute::lab {
 namespace {
 
-// The smallest piece of work: a fiftieth of a millisecond, what a backend needs to look at a request at all.
+// Smallest work of a request, 0.02 ms: what a backend needs to look at a request at all.
 constexpr double kMinWorkS = 20e-6;
 
 double DrawFrom(Random* random, Range range) { return random->Uniform(range.lo, range.hi); }
@@ -17,7 +18,8 @@
 }
 bool DrawFlag(Random* random, Range range) { return random->Chance(DrawFrom(random, range)); }
 
-// `part` of `all`, in random order; at least one where there are any and the part is not nought.
+// A random subset of `all` with this share of the elements; at least one if the share is not 0 and there are
+// any.
 std::vector<int> RandomSubset(Random* random, std::vector<int> all, double share) {
   random->Shuffle(&all);
   auto n = static_cast<size_t>(std::llround(share * static_cast<double>(all.size())));
@@ -63,7 +65,8 @@
   spec->heeds_retry_after_share = DrawFrom(random, scenario.heeds_retry_after_share);
   spec->max_retry_after_s = DrawFrom(random, scenario.max_retry_after_ms) * 1e-3,
   spec->impatient_share = DrawFrom(random, scenario.impatient_share);
-  spec->use_until_end_share = scenario.use_until_end_share.lo;  // no draw: days without it stay as they are
+  // Not drawn, so that the random stream of scenarios without it is unchanged.
+  spec->use_until_end_share = scenario.use_until_end_share.lo;
   spec->skew = DrawFrom(random, scenario.skew), spec->shift_s = DrawFrom(random, scenario.shift_s),
   spec->front_notice_s = DrawFrom(random, scenario.front_notice_s);
   spec->discovery_notice_lo = scenario.discovery_notice_s.lo,
@@ -143,7 +146,7 @@
       p.ceiling_slack = std::max(std::ceil(DrawFrom(random, scenario.ceiling_slack_share) * p.ceiling_burst),
                                  static_cast<double>(spec->units_top));
     }
-    // What the rate keeps out on idle backends: requests a second times the work of one.
+    // Attempts in flight that the rate causes on idle backends: requests per second times the work of one.
     double open = DrawFrom(random, f.open_times);
     if (open > 0)
       p.attempt_cap = std::max(2, static_cast<int>(std::ceil(open * p.rate / 2 * spec->mean_work_s)));
@@ -151,7 +154,7 @@
   }
 }
 
-// Units go by the request's work: half of the mean work is one unit, so that a mean request counts two.
+// Units depend on the work: half of the mean work is one unit, so that a mean request counts two.
 double UnitsOf(const RunSpec& spec, int class_index, double work_s) {
   double unit_work_s = spec.classes[static_cast<size_t>(class_index)].work_s / 2;
   return std::clamp(std::round(work_s / unit_work_s), 1.0, static_cast<double>(spec.units_top));
@@ -168,7 +171,7 @@
   return sum / kSamples;
 }
 
-// When the rate of arrivals is other than usual, for all.
+// An interval in which all arrival rates are multiplied by a factor.
 struct Surge {
   Micros from, to;
   double factor;
@@ -214,7 +217,8 @@
       double max_factor = std::max(base, peak);
       for (const Surge& surge : surges)
         max_factor = std::max(max_factor, std::max(base, peak) * surge.factor);
-      // Thinning (Lewis and Shedler 1979): draw at the highest rate, keep by the present one.
+      // Thinning (Lewis and Shedler 1979): draw at the highest rate, keep each arrival with the share of the
+      // current rate.
       for (double at = customer_random.Exponential(units / (max_factor * p.rate)); at < length;
            at += customer_random.Exponential(units / (max_factor * p.rate))) {
         while (at > spike_at + spike_s) spike_at += customer_random.Uniform(0.5, 1.5) * spike_every_s;
@@ -338,7 +342,7 @@
     } else if (event.kind == "offline") {
       std::vector<int> chosen = backends();
       AddBeginAndEnd(at, to, SiteEventKind::kBackendOffline, SiteEventKind::kBackendOnline, chosen, 0);
-      // In the time it is out it is restarted and comes back cold.
+      // While offline, the backends are restarted and come back cold.
       AddBeginAndEnd(at + (to - at) / 2, to - (to - at) / 4, SiteEventKind::kStopBackend,
                      SiteEventKind::kStartBackend, chosen, 0);
     } else if (event.kind == "drain") {
@@ -402,8 +406,8 @@
   }
 
  private:
-  // The incidents that the operators have recorded (TERMS 7). Three in five are bursts: of 25 days of the
-  // fleet's kinds at 100 gateways 15 showed one; the others are as likely as one another.
+  // Draws one of the disturbances that the operators have recorded (TERMS 7). Three in five are bursts, as 15
+  // of 25 runs of the fleet's kinds at 100 gateways showed one; the other types are equally likely.
   void AddRandomDisturbance(Micros at) {
     struct DisturbanceType {
       const char* kind;
@@ -435,7 +439,7 @@
   Random* random_;
   RunSpec* spec_;
   std::vector<Surge>* surges_;
-  std::vector<int> running_backends_;  // backends that are there when the events so far are over
+  std::vector<int> running_backends_;  // backends that exist after the events so far
 };
 
 }  // namespace
--- a/lab/model/scenario.cpp
+++ b/lab/model/scenario.cpp
@@ -1,4 +1,4 @@
-// The table of a scenario's keys, and the reader of its TOML form (toml++).
+// The table of scenario keys, and the parser of the TOML form (toml++).
 #include "model/scenario.h"
 
 #include <toml++/toml.h>
@@ -12,8 +12,8 @@
 namespace lemonchute::lab {
 namespace {
 
-constexpr double kUnbounded =
-    1e9;  // larger than any figure of a site; keeps products within what a double holds exactly
+// Larger than any value of a site; products stay within what a double represents exactly.
+constexpr double kUnbounded = 1e9;
 constexpr size_t kMaxErrors = 64, kMaxTextBytes = 1 << 20, kMaxEntries = 64;
 
 using Errors = std::vector<ScenarioError>;
@@ -34,7 +34,7 @@
   return text;
 }
 
-// The range that `node` says, within what `figure` allows.
+// Reads the range in `node` and checks it against the limits of `parameter`.
 template <typename Owner>
 void ReadParameter(const Parameter<Owner>& parameter, const toml::node& node, const std::string& key,
                    Owner* owner, Errors* errors) {
@@ -57,7 +57,7 @@
   if (range.lo > range.hi)
     return AddError(
         errors, LineOf(node), key,
-        "is a range upside down: " + FormatNumber(range.lo) + " is above " + FormatNumber(range.hi));
+        "is an inverted range: " + FormatNumber(range.lo) + " is above " + FormatNumber(range.hi));
   if (range.lo < parameter.min || range.hi > parameter.max) {
     return AddError(errors, LineOf(node), key,
                     "has to lie from " + FormatNumber(parameter.min) + " to " + FormatNumber(parameter.max));
@@ -76,7 +76,7 @@
   return nullptr;
 }
 
-// A key that is one more letter off than it should be is most often a wrong unit: say which there is.
+// A key that differs only in its last part usually has the wrong unit: suggest the right key.
 template <typename Owner>
 std::string UnknownKeyMessage(const std::vector<Parameter<Owner>>& parameters, std::string_view key) {
   auto stem = [](std::string_view k) { return k.substr(0, std::min(k.rfind('_'), k.size())); };
@@ -113,11 +113,13 @@
   auto text = node->value<std::string>();
   bool plain = text && text->size() <= 400 &&
                std::all_of(text->begin(), text->end(), [](unsigned char c) { return c >= 0x20; });
-  if (!plain) AddError(errors, LineOf(*node), full, "is not a plain text of at most 400 letters");
+  if (!plain)
+    AddError(errors, LineOf(*node), full,
+             "is not a text of at most 400 characters without control characters");
   return plain ? *text : "";
 }
 
-// A list of whole numbers; none where the key is absent.
+// Reads a list of whole numbers; empty if the key is absent.
 std::vector<int> ReadNumbers(const toml::table& table, const char* key, const std::string& at,
                              Errors* errors) {
   std::vector<int> numbers;
@@ -134,15 +136,16 @@
   return numbers;
 }
 
-// Names go into paths and headers: letters, digits and dashes.
+// Names are used in paths and headers: letters, digits and dashes.
 void CheckName(const std::string& name, int line, const std::string& key, Errors* errors) {
   bool plain = !name.empty() && name.size() <= 40 && std::all_of(name.begin(), name.end(), [](char c) {
     return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-';
   });
-  if (!plain) AddError(errors, line, key, "has to be small letters, digits and dashes, at most 40");
+  if (!plain)
+    AddError(errors, line, key, "has to be lower-case letters, digits and dashes, at most 40 characters");
 }
 
-// The tables of an array of tables, each with its place.
+// Visits the tables of an array of tables with their paths.
 template <typename Visit>
 void ForEachTable(const toml::table& root, const char* key, Errors* errors, Visit visit) {
   const toml::node* node = root.get(key);
@@ -412,7 +415,7 @@
 
 namespace {
 
-// What an event says in words, and by number.
+// Checks the text fields and indices of an event.
 void CheckEvent(const Scenario& s, const EventConfig& e, const std::string& at, Errors* errors) {
   auto check_one_of = [&](const char* key, const std::string& value,
                           std::initializer_list<const char*> allowed) {
@@ -421,7 +424,7 @@
       if (value == one) return;
       all.append(all.empty() ? "" : ", ").append(one);
     }
-    AddError(errors, e.line, at + "." + key, "\"" + value + "\" is none of " + all);
+    AddError(errors, e.line, at + "." + key, "\"" + value + "\" is not one of " + all);
   };
   bool is_path = e.kind.rfind("path-", 0) == 0;
   if (is_path) {
@@ -441,7 +444,7 @@
     for (int value : values) {
       if (value < 0 || value >= most)
         AddError(errors, e.line, at + "." + key,
-                 std::to_string(value) + " is no number of the fleet, from 0 to " + FormatNumber(most - 1));
+                 std::to_string(value) + " is out of range: from 0 to " + FormatNumber(most - 1));
     }
   };
   bool zone = e.kind.rfind("zone-", 0) == 0;
@@ -454,8 +457,8 @@
 }  // namespace
 
 void CheckConsistency(const Scenario& s, Errors* errors) {
-  if (s.classes.empty()) AddError(errors, 0, "class", "there is none: add a [[class]]");
-  if (s.plans.empty()) AddError(errors, 0, "plan", "there is none: add a [[plan]]");
+  if (s.classes.empty()) AddError(errors, 0, "class", "is missing: add a [[class]]");
+  if (s.plans.empty()) AddError(errors, 0, "plan", "is missing: add a [[plan]]");
   auto sum = [](const auto& items) {
     double total = 0;
     for (const auto& item : items) total += item.share.lo;
@@ -478,7 +481,7 @@
     std::string at = "event[" + std::to_string(i) + "]";
     if (e.at_s.hi > s.length_s.lo)
       AddError(errors, e.line, at + ".at_s",
-               "may lie past the day's end, " + FormatNumber(s.length_s.lo) + " s");
+               "may lie past the end of the run, " + FormatNumber(s.length_s.lo) + " s");
     bool known = std::any_of(EventKinds().begin(), EventKinds().end(),
                              [&](const EventKind& k) { return e.kind == k.name; });
     if (!known)
@@ -539,8 +542,7 @@
     c.name = ReadText(table, "name", at, true, errors);
     if (!c.name.empty()) CheckName(c.name, LineOf(table), at + ".name", errors);
     if (table.contains("effect")) c.effect = ReadText(table, "effect", at, true, errors);
-    if (c.effect != "free")
-      AddError(errors, LineOf(table), at + ".effect", "only \"free\" is modelled so far");
+    if (c.effect != "free") AddError(errors, LineOf(table), at + ".effect", "only \"free\" is supported");
     ReadTable(ClassParameters(), table, at, {"name", "effect"}, &c, errors);
     s->classes.push_back(c);
   });
--- a/lab/model/scenario.h
+++ b/lab/model/scenario.h
@@ -1,5 +1,6 @@
-// Owns what a scenario says: every figure of the site with its unit, its range and its default, in one table
-// that the reader, `--set`, `sweep` and `keys` share. A figure is a range; a day draws from it by its seed.
+// A scenario: every parameter of the site with its unit, range and default, in one table that the reader and
+// the commands `--set`, `sweep` and `keys` share. The value of a parameter is a range, from which each run
+// draws by its seed.
 #ifndef LEMONCHUTE_LAB_MODEL_SCENARIO_H_
 #define LEMONCHUTE_LAB_MODEL_SCENARIO_H_
 
@@ -10,54 +11,58 @@
 
 namespace lemonchute::lab {
 
+/// A closed range that a parameter is drawn from.
 struct Range {
   double lo = 0, hi = 0;
   bool operator==(const Range&) const = default;
 };
 
-// A key of `Owner`; the unit is the end of its name (_s, _ms, _share ...).
+/// Describes one parameter of `Owner`. The suffix of the key gives the unit (_s, _ms, _share and so on).
 template <typename Owner>
 struct Parameter {
   const char* key;
   Range Owner::*member;
   double min, max;
-  bool integer_only;  // takes whole numbers only
+  bool integer_only;  // accepts whole numbers only
   const char* description;
 };
 
-// A class of request. Milliseconds.
+/// A request class. Times are in milliseconds.
 struct ClassConfig {
   std::string name, effect = "free";
   Range share{1, 1}, work_ms{100, 170}, work_cv{0.7, 1.4}, aim_ms{1200, 1200}, deadline_ms{3000, 3000},
       worth{1, 1};
 };
 
-// A plan; quotas hold for each customer over all gateways.
+/// A plan. Quotas apply to each customer over all gateways together.
 struct PlanConfig {
   std::string name;
   Range share{1, 1}, units_per_s{4, 8}, burst_s{2, 5}, price{1, 1}, over_cost{0.6, 0.6}, over_worth{0, 0};
   Range open_times{0, 0}, ceiling_times{0, 0};
 };
 
-// One entry of the timeline. What a field means for a kind is in EventKinds().
+/// One event of the scenario's timeline. EventKinds() tells what the fields mean for a kind.
 struct EventConfig {
   std::string kind;
   Range at_s{0, 0}, for_s{0, 0}, part{1, 1}, size{1, 1}, down_s{0.3, 1.4};
-  // By number, in place of a part that the day draws; of a path: the gateways at its near ends.
+  // Explicit indices, in place of a share that the run draws. For a path: the gateways at the near end.
   std::vector<int> targets;
-  std::vector<int> others;  // of a path: the far ends; none: all
+  std::vector<int> others;  // for a path: indices at the far end; empty means all
   std::string to, way = "both", what, order = "drawn";
-  int line = 0;  // in the file, for what is wrong with it
+  int line = 0;  // in the scenario file, for error messages
 };
 
+/// What a run of the scenario has to achieve; absent values are not checked.
 struct Expectations {
   std::optional<double> g_at_least, served_at_least, recover_s_at_most, told_at_most;
   bool rules_kept = true;
 };
 
+/// All parameters of a scenario. Units are given by the suffix of the name.
 struct Scenario {
   std::string name, about;
-  // JSON of the configuration's `extensions`; $STATE is the gateway's folder that outlives its processes.
+  // JSON text of the configuration's `extensions`. $STATE stands for the gateway's state folder, which
+  // outlives its processes.
   std::string extensions;
   Range length_s{20, 20}, settle_s{4, 4};
   Range gateways{3, 3}, backends{9, 9}, zones{3, 3}, memory_mb{192, 192}, descriptors{1024, 1024};
@@ -93,38 +98,39 @@
   Expectations expect;
 };
 
+/// The parameters of each part of a scenario, by key.
 const std::vector<Parameter<Scenario>>& ScenarioParameters();
 const std::vector<Parameter<ClassConfig>>& ClassParameters();
 const std::vector<Parameter<PlanConfig>>& PlanParameters();
 const std::vector<Parameter<EventConfig>>& EventParameters();
 
-// A kind of event and what its fields mean.
+/// An event kind and the meaning of its fields.
 struct EventKind {
   const char* name;
   const char* about;
 };
 const std::vector<EventKind>& EventKinds();
-// Kinds that are load and no trouble: a day without its troubles keeps them.
+/// Whether events of this kind are load rather than faults. A run without its faults keeps them.
 bool IsLoadEvent(std::string_view kind);
 
-// Something wrong with a scenario: the line (0: none), the key and a plain reason.
+/// An error in a scenario: the line (0 if there is none), the key and the reason.
 struct ScenarioError {
   int line = 0;
   std::string key, message;
   bool operator==(const ScenarioError&) const = default;
 };
 
-// Reads and checks a scenario's text; all faults are named in one go. With faults the scenario is of no use.
+/// Parses and checks a scenario and collects all errors. The scenario is usable only if there are none.
 struct ScenarioParseResult {
   Scenario scenario;
   std::vector<ScenarioError> errors;
 };
 ScenarioParseResult ParseScenario(std::string_view text);
-// One figure anew, from "key=2" or "key=[1,2]"; an empty result is a yes.
+/// Sets one parameter from "key=2" or "key=[1,2]". An empty result means success.
 std::optional<ScenarioError> SetParameter(Scenario* scenario, std::string_view assignment);
-// The scenario as a file that reads back as the same scenario.
+/// Writes the scenario as TOML that parses to the same scenario.
 std::string WriteScenario(const Scenario& scenario);
-// What no single key shows: shares that don't add up, events past the end, more zones than gateways.
+/// Checks what no single key shows: shares that don't add up, events past the end, more zones than gateways.
 void CheckConsistency(const Scenario& scenario, std::vector<ScenarioError>* errors);
 
 }  // namespace lemonchute::lab
--- a/lab/model/settings.cpp
+++ b/lab/model/settings.cpp
@@ -1,4 +1,4 @@
-// Figures of the day in the settings' words. What a day draws and no gateway is told is left out.
+// Writes the run's values in the form of the gateway's settings. Values that no gateway is told are left out.
 #include "model/settings.h"
 
 namespace lemonchute::lab {
--- a/lab/tests/rules_test.cpp
+++ b/lab/tests/rules_test.cpp
@@ -145,10 +145,10 @@
   };
   for (const Bad& bad :
        {Bad{"fleet pid=1 what=holds", "at_us is missing"}, Bad{"fleet at_us=1 what=holds", "pid is missing"},
-        Bad{"fleet at_us=x pid=1 what=holds", "at_us is missing or no number"},
-        Bad{"fleet at_us=1 pid=1 what=starts", "nothing that a gateway says"},
+        Bad{"fleet at_us=x pid=1 what=holds", "at_us is missing or not a number"},
+        Bad{"fleet at_us=1 pid=1 what=starts", "does not name an event that a gateway logs"},
         Bad{"fleet at_us=1 pid=1 what=holds amount=nan", "not finite"},
-        Bad{"fleet at_us=1 pid=1 what=holds what=uses", "a field twice"},
+        Bad{"fleet at_us=1 pid=1 what=holds what=uses", "a duplicate field"},
         Bad{"fleet at_us=1 pid=1 what=holds noise", "a field without '='"}}) {
     EXPECT_FALSE(ParseLogEvent(bad.line, 0, 0, &fault)) << bad.line;
     EXPECT_NE(fault.find(bad.why), std::string::npos) << bad.line << ": " << fault;
--- a/lab/tests/scenario_test.cpp
+++ b/lab/tests/scenario_test.cpp
@@ -12,7 +12,7 @@
     const char *line, *key, *why;  // a line put at the end of the tiny scenario, and what is said of it
   };
   const std::vector<Case> cases = {
-      {"[load]\nuse = [2, 1]", "load.use", "upside down"},
+      {"[load]\nuse = [2, 1]", "load.use", "inverted range"},
       {"[load]\nuse = 11", "load.use", "from 0 to 10"},
       {"[load]\nuse = \"much\"", "load.use", "neither a number nor a range"},
       {"[load]\nuse = [1]", "load.use", "range of two numbers"},
@@ -22,10 +22,10 @@
       {"[requests]\nunits_top = 1.5", "requests.units_top", "whole number"},
       {"[loads]\nuse = 1", "loads", "not known"},
       {"[[event]]\nkind = \"kil\"\nat_s = 1", "event[0].kind", "\"kil\" is not known"},
-      {"[[event]]\nkind = \"kill\"\nat_s = 21", "event[0].at_s", "past the day's end"},
+      {"[[event]]\nkind = \"kill\"\nat_s = 21", "event[0].at_s", "past the end of the run"},
       {"[[event]]\nat_s = 1", "event[0].kind", "is missing"},
       {"[[event]]\nkind = \"kill\"\nat_s = 1\npart = 2", "event[0].part", "from 0 to 1"},
-      {"[[class]]\nname = \"A b\"", "class[1].name", "small letters"},
+      {"[[class]]\nname = \"A b\"", "class[1].name", "lower-case letters"},
       {"[[class]]\nname = \"b\"\naim_ms = 5000", "class[1].aim_ms", "past deadline_ms"},
       {"[[plan]]\nname = \"b\"\nrate = 1", "plan[2].rate", "not known"},
       {"[expect]\ng = 1", "expect.g", "not known"},
