--- a/lab/model/backend.cpp
+++ b/lab/model/backend.cpp
@@ -45,7 +45,7 @@
   return ahead / capacity + work_s * sharing * backend_.cores / capacity;
 }
 
-void Backend::Advance(Micros now, std::vector<Completion>* ends) {
+void Backend::Advance(Micros now, std::vector<Completion>* completions) {
   while (updated_at_ < now) {
     double rate = RatePerJob(updated_at_);
     Micros step = now;
@@ -62,7 +62,7 @@
       running_.erase(running_.begin());
       if ((id & kHandshakeBit) == 0) {
         auto job = jobs_.find(id);
-        ends->push_back({id, false, job->second.second});
+        completions->push_back({id, false, job->second.second});
         jobs_.erase(job);
       }
     }
@@ -73,7 +73,7 @@
           ++job;
           continue;
         }
-        ends->push_back({job->id, true, 0});
+        completions->push_back({job->id, true, 0});
         waiting_work_ -= job->work_s;
         job = waiting_.erase(job);
       }
--- a/lab/model/backend.h
+++ b/lab/model/backend.h
@@ -31,7 +31,7 @@
   Backend(const RunSpec& spec, const BackendSpec& backend) : spec_(&spec), backend_(backend) {}
 
   /// Advances to `now` and appends completions in order of time. Call it before any other call at that time.
-  void Advance(Micros now, std::vector<Completion>* ends);
+  void Advance(Micros now, std::vector<Completion>* completions);
   Micros NextEventAt() const;  // time of the next completion or drop
 
   void Start(Micros now, bool cold);
--- a/lab/model/client_router.cpp
+++ b/lab/model/client_router.cpp
@@ -17,23 +17,23 @@
 
 int ClientRouter::PickGateway(uint32_t arrival, int number, Micros now) const {
   uint32_t customer = spec_->arrivals[arrival].customer;
-  const Customer& c = spec_->customers[customer];
+  const Customer& customer_spec = spec_->customers[customer];
   // The epochs of different customers are out of phase.
   Random customer_random(spec_->seed, Stream::kClients, (uint64_t{1} << 38) + customer);
   double phase = customer_random.Uniform(0, spec_->shift_s), shift_draw = customer_random.Uniform(0, 1);
   auto epoch = static_cast<uint64_t>((ToSeconds(now) + phase) / spec_->shift_s) + 1;
   for (Micros shift : spec_->shifts) epoch += now >= shift && shift_draw < spec_->shift_share ? 1000 : 0;
   Random shuffle_random(spec_->seed + epoch, Stream::kClients, (uint64_t{1} << 39) + customer);
-  std::vector<int> ranks(static_cast<size_t>(c.gateway_count));
-  for (int i = 0; i < c.gateway_count; ++i) ranks[static_cast<size_t>(i)] = i;
+  std::vector<int> ranks(static_cast<size_t>(customer_spec.gateway_count));
+  for (int i = 0; i < customer_spec.gateway_count; ++i) ranks[static_cast<size_t>(i)] = i;
   shuffle_random.Shuffle(&ranks);
   Random random = RandomFor(arrival, number, 0);
   bool hot = now >= spec_->hot_from && now < spec_->hot_to && random.Chance(spec_->hot_share);
   double total = 0;
-  std::vector<double> weights(static_cast<size_t>(c.gateway_count));
-  for (int i = 0; i < c.gateway_count; ++i) {
+  std::vector<double> weights(static_cast<size_t>(customer_spec.gateway_count));
+  for (int i = 0; i < customer_spec.gateway_count; ++i) {
     auto index = static_cast<size_t>(i);
-    int gateway = (c.first_gateway + i) % spec_->gateways;
+    int gateway = (customer_spec.first_gateway + i) % spec_->gateways;
     bool up = now < visible_until_[static_cast<size_t>(gateway)];
     weights[index] =
         up ? (hot ? (ranks[index] == 0 ? 1 : 1e-9) : std::pow(ranks[index] + 1, -spec_->skew)) : 0;
@@ -41,12 +41,13 @@
   }
   if (total <= 0) return -1;
   double draw = random.Uniform(0, total);
-  for (int i = 0; i < c.gateway_count; ++i) {
+  for (int i = 0; i < customer_spec.gateway_count; ++i) {
     draw -= weights[static_cast<size_t>(i)];
-    if (draw < 0 && weights[static_cast<size_t>(i)] > 0) return (c.first_gateway + i) % spec_->gateways;
+    if (draw < 0 && weights[static_cast<size_t>(i)] > 0)
+      return (customer_spec.first_gateway + i) % spec_->gateways;
   }
-  for (int i = c.gateway_count; i-- > 0;) {
-    if (weights[static_cast<size_t>(i)] > 0) return (c.first_gateway + i) % spec_->gateways;
+  for (int i = customer_spec.gateway_count; i-- > 0;) {
+    if (weights[static_cast<size_t>(i)] > 0) return (customer_spec.first_gateway + i) % spec_->gateways;
   }
   return -1;
 }
@@ -76,10 +77,10 @@
   return spec_->use_until_end_share > 0 && RandomFor(arrival, number, 4).Chance(spec_->use_until_end_share);
 }
 
-std::optional<Micros> ClientRouter::LeavesAfter(uint32_t arrival, int number, Micros patience) const {
+std::optional<Micros> ClientRouter::LeavesAfter(uint32_t arrival, int number, Micros timeout) const {
   Random random = RandomFor(arrival, number, 1);
   if (!random.Chance(spec_->impatient_share)) return std::nullopt;
-  return FromSeconds(random.Uniform(0.05, 0.8) * ToSeconds(patience));
+  return FromSeconds(random.Uniform(0.05, 0.8) * ToSeconds(timeout));
 }
 
 std::optional<Micros> ClientRouter::RetryAt(uint32_t arrival, int number, Micros now,
--- a/lab/model/client_router.h
+++ b/lab/model/client_router.h
@@ -29,7 +29,7 @@
   /// Whether the try keeps using an open connection to a gateway that was told to terminate.
   bool KeepsConnectionUntilEnd(uint32_t arrival, int number) const;
   /// When the client leaves before its timeout, from when the try is sent; none if it does not.
-  std::optional<Micros> LeavesAfter(uint32_t arrival, int number, Micros patience) const;
+  std::optional<Micros> LeavesAfter(uint32_t arrival, int number, Micros timeout) const;
   /// When the client retries after a failure; none if it does not. A `retry_after_s` of 0 means no advice.
   std::optional<Micros> RetryAt(uint32_t arrival, int number, Micros now, double retry_after_s) const;
 
--- a/lab/model/run_checker.cpp
+++ b/lab/model/run_checker.cpp
@@ -233,7 +233,7 @@
 void RunChecker::OnTryAnswered(Micros now, uint32_t id, TryOutcome outcome, bool slot_free) {
   Try& t = tries_[id];
   const Arrival& a = spec_->arrivals[t.arrival];
-  const ClassSpec& cls = spec_->classes[static_cast<size_t>(a.class_index)];
+  const ClassSpec& class_spec = spec_->classes[static_cast<size_t>(a.class_index)];
   UpdateDigest('f', now, id, static_cast<uint64_t>(outcome));
   RecordRequestEvent(HistoryEventKind::kRequestAnswered, now, id);
   if (t.closed && t.ended_at != kNever && now <= t.sent_at + t.timeout)
@@ -247,7 +247,7 @@
   if (outcome == TryOutcome::kServed && !past_timeout) {
     ++served_;
     latency_(std::max(2e-4, ToSeconds(now - t.sent_at)));
-    bool in_time = now <= a.at + FromSeconds(cls.aim_s);
+    bool in_time = now <= a.at + FromSeconds(class_spec.aim_s);
     const PlanSpec& plan = spec_->plans[static_cast<size_t>(spec_->customers[a.customer].plan)];
     if (served_state_[t.arrival] == 0 && in_time && a.at >= kScoringStart) {
       double worth =
--- a/lab/model/scenario.cpp
+++ b/lab/model/scenario.cpp
@@ -45,8 +45,8 @@
     auto hi = bounds->size() == 2 ? number(*bounds->get(1)) : std::nullopt;
     if (!lo || !hi) return AddError(errors, LineOf(node), key, "is not a range of two numbers, [from, to]");
     range = {*lo, *hi};
-  } else if (auto one = number(node)) {
-    range = {*one, *one};
+  } else if (auto value = number(node)) {
+    range = {*value, *value};
   } else if (auto flag = node.value<bool>()) {
     range = {*flag ? 1.0 : 0.0, *flag ? 1.0 : 0.0};
   } else {
@@ -111,12 +111,12 @@
     return "";
   }
   auto text = node->value<std::string>();
-  bool plain = text && text->size() <= 400 &&
+  bool valid = text && text->size() <= 400 &&
                std::all_of(text->begin(), text->end(), [](unsigned char c) { return c >= 0x20; });
-  if (!plain)
+  if (!valid)
     AddError(errors, LineOf(*node), full,
              "is not a text of at most 400 characters without control characters");
-  return plain ? *text : "";
+  return valid ? *text : "";
 }
 
 // Reads a list of whole numbers; empty if the key is absent.
@@ -126,22 +126,22 @@
   const toml::node* node = table.get(key);
   if (node == nullptr) return numbers;
   const toml::array* list = node->as_array();
-  bool sound = list != nullptr && !list->empty() && list->size() <= 10000;
-  for (size_t i = 0; sound && i < list->size(); ++i) {
+  bool valid = list != nullptr && !list->empty() && list->size() <= 10000;
+  for (size_t i = 0; valid && i < list->size(); ++i) {
     auto number = list->get(i)->value_exact<int64_t>();
-    sound = number && *number >= 0 && *number < 10000;
-    if (sound) numbers.push_back(static_cast<int>(*number));
+    valid = number && *number >= 0 && *number < 10000;
+    if (valid) numbers.push_back(static_cast<int>(*number));
   }
-  if (!sound) AddError(errors, LineOf(*node), at + "." + key, "is not a list of one to 10000 whole numbers");
+  if (!valid) AddError(errors, LineOf(*node), at + "." + key, "is not a list of one to 10000 whole numbers");
   return numbers;
 }
 
 // Names are used in paths and headers: letters, digits and dashes.
 void CheckName(const std::string& name, int line, const std::string& key, Errors* errors) {
-  bool plain = !name.empty() && name.size() <= 40 && std::all_of(name.begin(), name.end(), [](char c) {
+  bool valid = !name.empty() && name.size() <= 40 && std::all_of(name.begin(), name.end(), [](char c) {
     return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-';
   });
-  if (!plain)
+  if (!valid)
     AddError(errors, line, key, "has to be lower-case letters, digits and dashes, at most 40 characters");
 }
 
@@ -416,7 +416,7 @@
 namespace {
 
 // Checks the text fields and indices of an event.
-void CheckEvent(const Scenario& s, const EventConfig& e, const std::string& at, Errors* errors) {
+void CheckEvent(const Scenario& scenario, const EventConfig& event, const std::string& at, Errors* errors) {
   auto check_one_of = [&](const char* key, const std::string& value,
                           std::initializer_list<const char*> allowed) {
     std::string all;
@@ -424,71 +424,76 @@
       if (value == one) return;
       all.append(all.empty() ? "" : ", ").append(one);
     }
-    AddError(errors, e.line, at + "." + key, "\"" + value + "\" is not one of " + all);
+    AddError(errors, event.line, at + "." + key, "\"" + value + "\" is not one of " + all);
   };
-  bool is_path = e.kind.rfind("path-", 0) == 0;
+  bool is_path = event.kind.rfind("path-", 0) == 0;
   if (is_path) {
-    check_one_of("to", e.to, {"gateways", "counter", "discovery", "backends"});
-    check_one_of("way", e.way, {"both", "out", "in"});
-    bool share = e.kind == "path-loss" || e.kind == "path-duplicate" || e.kind == "path-reorder";
-    if (share && e.size.hi > 1) AddError(errors, e.line, at + ".size", "is a share: from 0 to 1");
+    check_one_of("to", event.to, {"gateways", "counter", "discovery", "backends"});
+    check_one_of("way", event.way, {"both", "out", "in"});
+    bool share = event.kind == "path-loss" || event.kind == "path-duplicate" || event.kind == "path-reorder";
+    if (share && event.size.hi > 1) AddError(errors, event.line, at + ".size", "is a share: from 0 to 1");
   }
-  if (e.kind == "starve" && e.size.hi > 1) AddError(errors, e.line, at + ".size", "is a share: from 0 to 1");
-  if (e.kind == "power-loss") check_one_of("order", e.order, {"drawn", "up", "down"});
-  if (e.kind == "spoil")
-    check_one_of("what", e.what,
+  if (event.kind == "starve" && event.size.hi > 1)
+    AddError(errors, event.line, at + ".size", "is a share: from 0 to 1");
+  if (event.kind == "power-loss") check_one_of("order", event.order, {"drawn", "up", "down"});
+  if (event.kind == "spoil")
+    check_one_of("what", event.what,
                  {"cut", "flip", "older", "other", "gone", "unreadable", "read-only", "no-room"});
-  bool backends = e.kind == "replace" || e.kind == "crash" || e.kind == "fail" || e.kind == "slow" ||
-                  e.kind == "silent" || e.kind == "offline";
+  bool backends = event.kind == "replace" || event.kind == "crash" || event.kind == "fail" ||
+                  event.kind == "slow" || event.kind == "silent" || event.kind == "offline";
   auto numbers = [&](const char* key, const std::vector<int>& values, double most) {
     for (int value : values) {
       if (value < 0 || value >= most)
-        AddError(errors, e.line, at + "." + key,
+        AddError(errors, event.line, at + "." + key,
                  std::to_string(value) + " is out of range: from 0 to " + FormatNumber(most - 1));
     }
   };
-  bool zone = e.kind.rfind("zone-", 0) == 0;
-  numbers("targets", e.targets, zone ? s.zones.lo : backends ? s.backends.lo : s.gateways.lo);
-  numbers("others", e.others, is_path && e.to == "backends" ? s.backends.lo : s.gateways.lo);
-  if (e.kind == "claim")
-    numbers("size", {static_cast<int>(e.size.lo), static_cast<int>(e.size.hi)}, s.gateways.lo);
+  bool zone = event.kind.rfind("zone-", 0) == 0;
+  numbers("targets", event.targets,
+          zone       ? scenario.zones.lo
+          : backends ? scenario.backends.lo
+                     : scenario.gateways.lo);
+  numbers("others", event.others,
+          is_path && event.to == "backends" ? scenario.backends.lo : scenario.gateways.lo);
+  if (event.kind == "claim")
+    numbers("size", {static_cast<int>(event.size.lo), static_cast<int>(event.size.hi)}, scenario.gateways.lo);
 }
 
 }  // namespace
 
-void CheckConsistency(const Scenario& s, Errors* errors) {
-  if (s.classes.empty()) AddError(errors, 0, "class", "is missing: add a [[class]]");
-  if (s.plans.empty()) AddError(errors, 0, "plan", "is missing: add a [[plan]]");
+void CheckConsistency(const Scenario& scenario, Errors* errors) {
+  if (scenario.classes.empty()) AddError(errors, 0, "class", "is missing: add a [[class]]");
+  if (scenario.plans.empty()) AddError(errors, 0, "plan", "is missing: add a [[plan]]");
   auto sum = [](const auto& items) {
     double total = 0;
     for (const auto& item : items) total += item.share.lo;
     return total;
   };
-  if (!s.classes.empty() && sum(s.classes) <= 0)
+  if (!scenario.classes.empty() && sum(scenario.classes) <= 0)
     AddError(errors, 0, "class.share", "the shares add up to nothing");
-  if (!s.plans.empty() && sum(s.plans) <= 0)
+  if (!scenario.plans.empty() && sum(scenario.plans) <= 0)
     AddError(errors, 0, "plan.share", "the shares add up to nothing");
-  for (size_t i = 0; i < s.classes.size(); ++i) {
-    if (s.classes[i].aim_ms.hi > s.classes[i].deadline_ms.lo)
+  for (size_t i = 0; i < scenario.classes.size(); ++i) {
+    if (scenario.classes[i].aim_ms.hi > scenario.classes[i].deadline_ms.lo)
       AddError(errors, 0, "class[" + std::to_string(i) + "].aim_ms", "may lie past deadline_ms");
   }
-  if (s.zones.hi > s.gateways.lo || s.zones.hi > s.backends.lo)
+  if (scenario.zones.hi > scenario.gateways.lo || scenario.zones.hi > scenario.backends.lo)
     AddError(errors, 0, "fleet.zones", "there may be more zones than gateways or backends");
-  if (s.full_share.hi + s.heavy_share.hi + s.spiky_share.hi > 1)
+  if (scenario.full_share.hi + scenario.heavy_share.hi + scenario.spiky_share.hi > 1)
     AddError(errors, 0, "customers", "full_share, heavy_share and spiky_share may add up to more than 1");
-  for (size_t i = 0; i < s.events.size(); ++i) {
-    const EventConfig& e = s.events[i];
+  for (size_t i = 0; i < scenario.events.size(); ++i) {
+    const EventConfig& event = scenario.events[i];
     std::string at = "event[" + std::to_string(i) + "]";
-    if (e.at_s.hi > s.length_s.lo)
-      AddError(errors, e.line, at + ".at_s",
-               "may lie past the end of the run, " + FormatNumber(s.length_s.lo) + " s");
+    if (event.at_s.hi > scenario.length_s.lo)
+      AddError(errors, event.line, at + ".at_s",
+               "may lie past the end of the run, " + FormatNumber(scenario.length_s.lo) + " s");
     bool known = std::any_of(EventKinds().begin(), EventKinds().end(),
-                             [&](const EventKind& k) { return e.kind == k.name; });
+                             [&](const EventKind& k) { return event.kind == k.name; });
     if (!known)
-      AddError(errors, e.line, at + ".kind",
-               "\"" + e.kind + "\" is not known; `lemonchute-lab keys` lists the kinds");
+      AddError(errors, event.line, at + ".kind",
+               "\"" + event.kind + "\" is not known; `lemonchute-lab keys` lists the kinds");
     else
-      CheckEvent(s, e, at, errors);
+      CheckEvent(scenario, event, at, errors);
   }
 }
 
@@ -506,12 +511,13 @@
     AddError(errors, static_cast<int>(error.source().begin.line), "", std::string(error.description()));
     return read;
   }
-  Scenario* s = &read.scenario;
-  s->name = ReadText(root, "name", "", true, errors);
-  if (!s->name.empty()) CheckName(s->name, LineOf(*root.get("name")), "name", errors);
-  s->about = ReadText(root, "about", "", false, errors);
-  s->extensions = ReadText(root, "extensions", "", false, errors);
-  if (!s->extensions.empty() && !nlohmann::json::parse(s->extensions, nullptr, false).is_object())
+  Scenario* scenario = &read.scenario;
+  scenario->name = ReadText(root, "name", "", true, errors);
+  if (!scenario->name.empty()) CheckName(scenario->name, LineOf(*root.get("name")), "name", errors);
+  scenario->about = ReadText(root, "about", "", false, errors);
+  scenario->extensions = ReadText(root, "extensions", "", false, errors);
+  if (!scenario->extensions.empty() &&
+      !nlohmann::json::parse(scenario->extensions, nullptr, false).is_object())
     AddError(errors, LineOf(*root.get("extensions")), "extensions", "is not the text of a JSON object");
   std::set<std::string, std::less<>> sections;
   for (const Parameter<Scenario>& parameter : ScenarioParameters())
@@ -523,12 +529,12 @@
       continue;
     const toml::table* table = node.as_table();
     if (key == "expect" && table != nullptr) {
-      ReadExpectations(*table, &s->expect, errors);
+      ReadExpectations(*table, &scenario->expect, errors);
     } else if (sections.count(key) != 0 && table != nullptr) {
       for (const auto& [inner, value] : *table) {
         std::string full = std::string(key) + "." + std::string(inner.str());
         if (const auto* parameter = FindParameter(ScenarioParameters(), full))
-          ReadParameter(*parameter, value, full, s, errors);
+          ReadParameter(*parameter, value, full, scenario, errors);
         else
           AddError(errors, LineOf(value), full, UnknownKeyMessage(ScenarioParameters(), full));
       }
@@ -538,36 +544,37 @@
     }
   }
   ForEachTable(root, "class", errors, [&](const toml::table& table, const std::string& at) {
-    ClassConfig c;
-    c.name = ReadText(table, "name", at, true, errors);
-    if (!c.name.empty()) CheckName(c.name, LineOf(table), at + ".name", errors);
-    if (table.contains("effect")) c.effect = ReadText(table, "effect", at, true, errors);
-    if (c.effect != "free") AddError(errors, LineOf(table), at + ".effect", "only \"free\" is supported");
-    ReadTable(ClassParameters(), table, at, {"name", "effect"}, &c, errors);
-    s->classes.push_back(c);
+    ClassConfig class_config;
+    class_config.name = ReadText(table, "name", at, true, errors);
+    if (!class_config.name.empty()) CheckName(class_config.name, LineOf(table), at + ".name", errors);
+    if (table.contains("effect")) class_config.effect = ReadText(table, "effect", at, true, errors);
+    if (class_config.effect != "free")
+      AddError(errors, LineOf(table), at + ".effect", "only \"free\" is supported");
+    ReadTable(ClassParameters(), table, at, {"name", "effect"}, &class_config, errors);
+    scenario->classes.push_back(class_config);
   });
   ForEachTable(root, "plan", errors, [&](const toml::table& table, const std::string& at) {
-    PlanConfig p;
-    p.name = ReadText(table, "name", at, true, errors);
-    if (!p.name.empty()) CheckName(p.name, LineOf(table), at + ".name", errors);
-    ReadTable(PlanParameters(), table, at, {"name"}, &p, errors);
-    s->plans.push_back(p);
+    PlanConfig plan;
+    plan.name = ReadText(table, "name", at, true, errors);
+    if (!plan.name.empty()) CheckName(plan.name, LineOf(table), at + ".name", errors);
+    ReadTable(PlanParameters(), table, at, {"name"}, &plan, errors);
+    scenario->plans.push_back(plan);
   });
   ForEachTable(root, "event", errors, [&](const toml::table& table, const std::string& at) {
-    EventConfig e;
-    e.line = LineOf(table);
-    e.kind = ReadText(table, "kind", at, true, errors);
+    EventConfig event;
+    event.line = LineOf(table);
+    event.kind = ReadText(table, "kind", at, true, errors);
     for (auto [key, value] :
-         {std::pair{"to", &e.to}, {"way", &e.way}, {"what", &e.what}, {"order", &e.order}}) {
+         {std::pair{"to", &event.to}, {"way", &event.way}, {"what", &event.what}, {"order", &event.order}}) {
       if (table.contains(key)) *value = ReadText(table, key, at, true, errors);
     }
-    e.targets = ReadNumbers(table, "targets", at, errors);
-    e.others = ReadNumbers(table, "others", at, errors);
-    ReadTable(EventParameters(), table, at, {"kind", "to", "way", "what", "order", "targets", "others"}, &e,
-              errors);
-    s->events.push_back(e);
+    event.targets = ReadNumbers(table, "targets", at, errors);
+    event.others = ReadNumbers(table, "others", at, errors);
+    ReadTable(EventParameters(), table, at, {"kind", "to", "way", "what", "order", "targets", "others"},
+              &event, errors);
+    scenario->events.push_back(event);
   });
-  CheckConsistency(*s, errors);
+  CheckConsistency(*scenario, errors);
   return read;
 }
 
@@ -610,32 +617,32 @@
 
 }  // namespace
 
-std::string WriteScenario(const Scenario& s) {
+std::string WriteScenario(const Scenario& scenario) {
   toml::table root;
-  root.insert("name", s.name);
-  if (!s.about.empty()) root.insert("about", s.about);
-  if (!s.extensions.empty()) root.insert("extensions", s.extensions);
+  root.insert("name", scenario.name);
+  if (!scenario.about.empty()) root.insert("about", scenario.about);
+  if (!scenario.extensions.empty()) root.insert("extensions", scenario.extensions);
   static const Scenario defaults{};
   for (const Parameter<Scenario>& parameter : ScenarioParameters()) {
-    Range range = s.*parameter.member;
+    Range range = scenario.*parameter.member;
     if (range == defaults.*parameter.member) continue;
     std::string_view key = parameter.key, section = key.substr(0, key.find('.'));
     if (!root.contains(section)) root.insert(section, toml::table{});
     InsertRange(key.substr(key.find('.') + 1), range, root[section].as_table());
   }
   toml::array classes, plans, events;
-  for (const ClassConfig& c : s.classes) {
+  for (const ClassConfig& c : scenario.classes) {
     toml::table one{{"name", c.name}};
     InsertParameters(ClassParameters(), c, &one);
     classes.push_back(std::move(one));
   }
-  for (const PlanConfig& p : s.plans) {
+  for (const PlanConfig& p : scenario.plans) {
     toml::table one{{"name", p.name}};
     InsertParameters(PlanParameters(), p, &one);
     plans.push_back(std::move(one));
   }
   static const EventConfig no_event{};
-  for (const EventConfig& e : s.events) {
+  for (const EventConfig& e : scenario.events) {
     toml::table one{{"kind", e.kind}};
     InsertParameters(EventParameters(), e, &one);
     auto text = [&](const char* key, const std::string& value, const std::string& absent) {
@@ -653,11 +660,11 @@
   root.insert("class", std::move(classes));
   root.insert("plan", std::move(plans));
   if (!events.empty()) root.insert("event", std::move(events));
-  toml::table expect{{"rules", s.expect.rules_kept ? "kept" : "any"}};
-  for (auto [key, value] : {std::pair{"g_at_least", s.expect.g_at_least},
-                            {"served_at_least", s.expect.served_at_least},
-                            {"recover_s_at_most", s.expect.recover_s_at_most},
-                            {"told_at_most", s.expect.told_at_most}}) {
+  toml::table expect{{"rules", scenario.expect.rules_kept ? "kept" : "any"}};
+  for (auto [key, value] : {std::pair{"g_at_least", scenario.expect.g_at_least},
+                            {"served_at_least", scenario.expect.served_at_least},
+                            {"recover_s_at_most", scenario.expect.recover_s_at_most},
+                            {"told_at_most", scenario.expect.told_at_most}}) {
     if (value) expect.insert(key, *value);
   }
   root.insert("expect", std::move(expect));
