--- a/lab/model/client_router.h
+++ b/lab/model/client_router.h
@@ -1,41 +1,43 @@
-// Owns what clients and their front do: through which gateway a try comes, how long it waits, and whether and
-// when a failed one comes again. A client's habits follow from its request's number, not from the order of
-// events.
+// Behaviour of clients and of the front that routes them: which gateway a try goes to, how long it waits, and
+// whether and when a failed try is retried. Random choices depend on the request's number only, not on the
+// order of events.
 #ifndef LEMONCHUTE_LAB_MODEL_CLIENT_ROUTER_H_
 #define LEMONCHUTE_LAB_MODEL_CLIENT_ROUTER_H_
 
 #include <optional>
 #include <vector>
 
-#include "model/day.h"
+#include "model/run_spec.h"
 
 namespace lemonchute::lab {
 
+/// Routes tries to gateways and decides on timeouts and retries.
 class ClientRouter {
  public:
-  explicit ClientRouter(const Day& day);
-
-  // The gateway of the set for a try that is sent now; -1 where the front sees none of them up.
-  int Pick(uint32_t arrival, int number, Micros now) const;
-  // A gateway's process has ended or answers readiness with a no; and is ready again.
-  void Gone(int gateway, Micros now);
-  void Draining(int gateway, Micros now);
-  void Ready(int gateway);
-
-  // A try's own patience, from its sending.
-  Micros Patience(uint32_t arrival, Micros now) const;
-  // Whether that try goes on using a connection to a gateway that was told to end.
-  bool UsesUntilEnd(uint32_t arrival, int number) const;
-  // Where the client leaves before its patience ends: when, from its sending.
-  std::optional<Micros> LeavesAfter(uint32_t arrival, int number, Micros patience) const;
-  // When the client tries again after a failure; none where it does not. `retry_after_s` is 0 for no advice.
-  std::optional<Micros> Again(uint32_t arrival, int number, Micros now, double retry_after_s) const;
+  explicit ClientRouter(const RunSpec& spec);
+
+  /// The gateway for a try that is sent now; -1 if the front sees none of the customer's gateways up.
+  int PickGateway(uint32_t arrival, int number, Micros now) const;
+  /// The gateway's process has ended (Down), reports that it is not ready (Draining), or is ready again
+  /// (Ready).
+  void OnGatewayDown(int gateway, Micros now);
+  void OnGatewayDraining(int gateway, Micros now);
+  void OnGatewayReady(int gateway);
+
+  /// How long a try waits for its answer, from when it is sent.
+  Micros TryTimeout(uint32_t arrival, Micros now) const;
+  /// Whether the try keeps using an open connection to a gateway that was told to terminate.
+  bool KeepsConnectionUntilEnd(uint32_t arrival, int number) const;
+  /// When the client leaves before its timeout, from when the try is sent; none if it does not.
+  std::optional<Micros> LeavesAfter(uint32_t arrival, int number, Micros timeout) const;
+  /// When the client retries after a failure; none if it does not. A `retry_after_s` of 0 means no advice.
+  std::optional<Micros> RetryAt(uint32_t arrival, int number, Micros now, double retry_after_s) const;
 
  private:
-  Random Habits(uint32_t arrival, int number, uint64_t what) const;
+  Random RandomFor(uint32_t arrival, int number, uint64_t purpose) const;
 
-  const Day* day_;
-  std::vector<Micros> unseen_until_;  // by when the front has noticed that it is down; kNever: it is up
+  const RunSpec* spec_;
+  std::vector<Micros> visible_until_;  // when the front notices that the gateway is down; kNever if it is up
 };
 
 }  // namespace lemonchute::lab
--- a/lab/model/ground_truth.h
+++ b/lab/model/ground_truth.h
@@ -1,54 +1,56 @@
-// Owns the truth on quotas: for each customer the one store that all gateways together draw on, its ceiling
-// and the attempts that are really out. No gateway sees any of it.
+// Ground truth on quotas: for each customer the single token bucket that all gateways share, its ceiling and
+// the attempts really in flight. No gateway sees any of it.
 #ifndef LEMONCHUTE_LAB_MODEL_GROUND_TRUTH_H_
 #define LEMONCHUTE_LAB_MODEL_GROUND_TRUTH_H_
 
 #include <vector>
 
-#include "model/day.h"
+#include "model/run_spec.h"
 
 namespace lemonchute::lab {
 
-// How a try stands to its customer's quota at the moment at which it is first sent on or turned away.
-enum class Quota { kInside, kBeyondRate, kBeyondOpen };
+/// How a try relates to its customer's quota when it is first forwarded or refused.
+enum class QuotaStatus { kWithinQuota, kOverRate, kOverCap };
 
+/// The true state of all quotas.
 class GroundTruth {
  public:
-  explicit GroundTruth(const Day& day);
-
-  // How a try of so many units would stand now; nothing changes.
-  Quota Look(uint32_t customer, Micros now, double units) const;
-  // A try is first sent on: takes its units where it is inside. `ceiling_left` is what the ceiling's store
-  // holds after that, above its slack: below nought the rule is broken. Large where there is no ceiling.
-  Quota SendOn(uint32_t customer, Micros now, double guess, double* ceiling_left);
-  void AttemptOut(uint32_t customer) { ++stores_[customer].open; }
-  void AttemptBack(uint32_t customer) { --stores_[customer].open; }
-  // The first good answer of a try inside the quota tells the true units.
-  void Settle(uint32_t customer, Micros now, double guess, double units);
-  // Share of its store that a customer has now.
-  double Level(uint32_t customer, Micros now) const;
-  void Scale(double times);  // every quota from here on
+  explicit GroundTruth(const RunSpec& spec);
+
+  /// The status that a try of this many units would have now; changes nothing.
+  QuotaStatus StatusOf(uint32_t customer, Micros now, double units) const;
+  /// A try is forwarded for the first time: takes its units if it is within the quota. `ceiling_margin`
+  /// receives what is left in the ceiling's bucket plus its slack; below 0 the ceiling rule is violated.
+  /// Large if there is no ceiling.
+  QuotaStatus Forward(uint32_t customer, Micros now, double estimated_units, double* ceiling_margin);
+  void OnAttemptSent(uint32_t customer) { ++states_[customer].attempts_in_flight; }
+  void OnAttemptEnded(uint32_t customer) { --states_[customer].attempts_in_flight; }
+  /// The first successful answer to a try within the quota reveals the true units.
+  void Settle(uint32_t customer, Micros now, double estimated_units, double units);
+  /// The share of the customer's bucket that is filled.
+  double TokenShare(uint32_t customer, Micros now) const;
+  void ScaleQuotas(double factor);  // applies to every quota from now on
 
  private:
-  struct Store {
-    double units = 0, ceiling = 0;
-    Micros at = 0;
-    int open = 0;
+  struct QuotaState {
+    double tokens = 0, ceiling_tokens = 0;
+    Micros updated_at = 0;
+    int attempts_in_flight = 0;
   };
-  const DayPlan& Plan(uint32_t customer) const {
-    return plans_[static_cast<size_t>(day_->customers[customer].plan)];
+  const PlanSpec& Plan(uint32_t customer) const {
+    return plans_[static_cast<size_t>(spec_->customers[customer].plan)];
   }
-  double Filled(const Store& store, const DayPlan& plan, Micros now) const;
-  void Fill(Store* store, const DayPlan& plan, Micros now);
+  double TokensAt(const QuotaState& state, const PlanSpec& plan, Micros now) const;
+  void Refill(QuotaState* state, const PlanSpec& plan, Micros now);
 
-  const Day* day_;
-  std::vector<DayPlan> plans_;
-  std::vector<Store> stores_;
+  const RunSpec* spec_;
+  std::vector<PlanSpec> plans_;
+  std::vector<QuotaState> states_;
 };
 
-// For each arrival, whether one gateway that saw all first tries would let it in: what is asked inside
-// quotas.
-std::vector<bool> InsideByFirstTries(const Day& day);
+/// For each arrival, whether a single gateway that saw all first tries would admit it. This defines the load
+/// offered within quotas.
+std::vector<bool> WithinQuotaByFirstTries(const RunSpec& spec);
 
 }  // namespace lemonchute::lab
 
--- a/lab/model/scenario.cpp
+++ b/lab/model/scenario.cpp
@@ -1,4 +1,4 @@
-// The table of a scenario's keys, and the reader of its TOML form (toml++).
+// The table of scenario keys, and the parser of the TOML form (toml++).
 #include "model/scenario.h"
 
 #include <toml++/toml.h>
@@ -12,19 +12,19 @@
 namespace lemonchute::lab {
 namespace {
 
-constexpr double kAny =
-    1e9;  // larger than any figure of a site; keeps products within what a double holds exactly
-constexpr size_t kMostFaults = 64, kMostText = 1 << 20, kMostEntries = 64;
+// Larger than any value of a site; products stay within what a double represents exactly.
+constexpr double kUnbounded = 1e9;
+constexpr size_t kMaxErrors = 64, kMaxTextBytes = 1 << 20, kMaxEntries = 64;
 
-using Faults = std::vector<ScenarioFault>;
+using Errors = std::vector<ScenarioError>;
 
-void Add(Faults* faults, int line, std::string key, std::string why) {
-  if (faults->size() < kMostFaults) faults->push_back({line, std::move(key), std::move(why)});
+void AddError(Errors* errors, int line, std::string key, std::string message) {
+  if (errors->size() < kMaxErrors) errors->push_back({line, std::move(key), std::move(message)});
 }
 
 int LineOf(const toml::node& node) { return static_cast<int>(node.source().begin.line); }
 
-std::string Plain(double value) {
+std::string FormatNumber(double value) {
   std::string text = std::to_string(value);
   while (text.find('.') != std::string::npos && (text.back() == '0' || text.back() == '.')) {
     bool point = text.back() == '.';
@@ -34,163 +34,169 @@
   return text;
 }
 
-// The range that `node` says, within what `figure` allows.
+// Reads the range in `node` and checks it against the limits of `parameter`.
 template <typename Owner>
-void TakeFigure(const Figure<Owner>& figure, const toml::node& node, const std::string& key, Owner* owner,
-                Faults* faults) {
+void ReadParameter(const Parameter<Owner>& parameter, const toml::node& node, const std::string& key,
+                   Owner* owner, Errors* errors) {
   Range range;
   auto number = [](const toml::node& n) { return n.value<double>(); };
-  if (const toml::array* both = node.as_array()) {
-    auto lo = both->size() == 2 ? number(*both->get(0)) : std::nullopt;
-    auto hi = both->size() == 2 ? number(*both->get(1)) : std::nullopt;
-    if (!lo || !hi) return Add(faults, LineOf(node), key, "is not a range of two numbers, [from, to]");
+  if (const toml::array* bounds = node.as_array()) {
+    auto lo = bounds->size() == 2 ? number(*bounds->get(0)) : std::nullopt;
+    auto hi = bounds->size() == 2 ? number(*bounds->get(1)) : std::nullopt;
+    if (!lo || !hi) return AddError(errors, LineOf(node), key, "is not a range of two numbers, [from, to]");
     range = {*lo, *hi};
-  } else if (auto one = number(node)) {
-    range = {*one, *one};
+  } else if (auto value = number(node)) {
+    range = {*value, *value};
   } else if (auto flag = node.value<bool>()) {
     range = {*flag ? 1.0 : 0.0, *flag ? 1.0 : 0.0};
   } else {
-    return Add(faults, LineOf(node), key, "is neither a number nor a range, [from, to]");
+    return AddError(errors, LineOf(node), key, "is neither a number nor a range, [from, to]");
   }
   if (!std::isfinite(range.lo) || !std::isfinite(range.hi))
-    return Add(faults, LineOf(node), key, "is not a finite number");
+    return AddError(errors, LineOf(node), key, "is not a finite number");
   if (range.lo > range.hi)
-    return Add(faults, LineOf(node), key,
-               "is a range upside down: " + Plain(range.lo) + " is above " + Plain(range.hi));
-  if (range.lo < figure.least || range.hi > figure.most) {
-    return Add(faults, LineOf(node), key,
-               "has to lie from " + Plain(figure.least) + " to " + Plain(figure.most));
+    return AddError(
+        errors, LineOf(node), key,
+        "is an inverted range: " + FormatNumber(range.lo) + " is above " + FormatNumber(range.hi));
+  if (range.lo < parameter.min || range.hi > parameter.max) {
+    return AddError(errors, LineOf(node), key,
+                    "has to lie from " + FormatNumber(parameter.min) + " to " + FormatNumber(parameter.max));
   }
-  if (figure.whole && (range.lo != std::floor(range.lo) || range.hi != std::floor(range.hi))) {
-    return Add(faults, LineOf(node), key, "has to be a whole number");
+  if (parameter.integer_only && (range.lo != std::floor(range.lo) || range.hi != std::floor(range.hi))) {
+    return AddError(errors, LineOf(node), key, "has to be a whole number");
   }
-  owner->*figure.at = range;
+  owner->*parameter.member = range;
 }
 
 template <typename Owner>
-const Figure<Owner>* Find(const std::vector<Figure<Owner>>& figures, std::string_view key) {
-  for (const Figure<Owner>& figure : figures) {
-    if (key == figure.key) return &figure;
+const Parameter<Owner>* FindParameter(const std::vector<Parameter<Owner>>& parameters, std::string_view key) {
+  for (const Parameter<Owner>& parameter : parameters) {
+    if (key == parameter.key) return &parameter;
   }
   return nullptr;
 }
 
-// A key that is one more letter off than it should be is most often a wrong unit: say which there is.
+// A key that differs only in its last part usually has the wrong unit: suggest the right key.
 template <typename Owner>
-std::string Unknown(const std::vector<Figure<Owner>>& figures, std::string_view key) {
+std::string UnknownKeyMessage(const std::vector<Parameter<Owner>>& parameters, std::string_view key) {
   auto stem = [](std::string_view k) { return k.substr(0, std::min(k.rfind('_'), k.size())); };
-  for (const Figure<Owner>& figure : figures) {
-    if (stem(figure.key) == stem(key)) return std::string("is not known; did you mean ") + figure.key + "?";
+  for (const Parameter<Owner>& parameter : parameters) {
+    if (stem(parameter.key) == stem(key))
+      return std::string("is not known; did you mean ") + parameter.key + "?";
   }
   return "is not known";
 }
 
 template <typename Owner>
-void TakeTable(const std::vector<Figure<Owner>>& figures, const toml::table& table, const std::string& at,
-               const std::set<std::string_view>& texts, Owner* owner, Faults* faults) {
+void ReadTable(const std::vector<Parameter<Owner>>& parameters, const toml::table& table,
+               const std::string& at, const std::set<std::string_view>& texts, Owner* owner, Errors* errors) {
   for (const auto& [name, node] : table) {
     std::string_view key = name.str();
     if (texts.count(key) != 0) continue;
     std::string full = at.empty() ? std::string(key) : at + "." + std::string(key);
-    if (const Figure<Owner>* figure = Find(figures, key)) {
-      TakeFigure(*figure, node, full, owner, faults);
+    if (const Parameter<Owner>* parameter = FindParameter(parameters, key)) {
+      ReadParameter(*parameter, node, full, owner, errors);
     } else {
-      Add(faults, LineOf(node), full, Unknown(figures, key));
+      AddError(errors, LineOf(node), full, UnknownKeyMessage(parameters, key));
     }
   }
 }
 
-std::string Text(const toml::table& table, const char* key, const std::string& at, bool needed,
-                 Faults* faults) {
+std::string ReadText(const toml::table& table, const char* key, const std::string& at, bool needed,
+                     Errors* errors) {
   const toml::node* node = table.get(key);
   std::string full = at.empty() ? key : at + "." + key;
   if (node == nullptr) {
-    if (needed) Add(faults, LineOf(table), full, "is missing");
+    if (needed) AddError(errors, LineOf(table), full, "is missing");
     return "";
   }
   auto text = node->value<std::string>();
-  bool plain = text && text->size() <= 400 &&
+  bool valid = text && text->size() <= 400 &&
                std::all_of(text->begin(), text->end(), [](unsigned char c) { return c >= 0x20; });
-  if (!plain) Add(faults, LineOf(*node), full, "is not a plain text of at most 400 letters");
-  return plain ? *text : "";
+  if (!valid)
+    AddError(errors, LineOf(*node), full,
+             "is not a text of at most 400 characters without control characters");
+  return valid ? *text : "";
 }
 
-// A list of whole numbers; none where the key is absent.
-std::vector<int> Numbers(const toml::table& table, const char* key, const std::string& at, Faults* faults) {
+// Reads a list of whole numbers; empty if the key is absent.
+std::vector<int> ReadNumbers(const toml::table& table, const char* key, const std::string& at,
+                             Errors* errors) {
   std::vector<int> numbers;
   const toml::node* node = table.get(key);
   if (node == nullptr) return numbers;
   const toml::array* list = node->as_array();
-  bool sound = list != nullptr && !list->empty() && list->size() <= 10000;
-  for (size_t i = 0; sound && i < list->size(); ++i) {
+  bool valid = list != nullptr && !list->empty() && list->size() <= 10000;
+  for (size_t i = 0; valid && i < list->size(); ++i) {
     auto number = list->get(i)->value_exact<int64_t>();
-    sound = number && *number >= 0 && *number < 10000;
-    if (sound) numbers.push_back(static_cast<int>(*number));
+    valid = number && *number >= 0 && *number < 10000;
+    if (valid) numbers.push_back(static_cast<int>(*number));
   }
-  if (!sound) Add(faults, LineOf(*node), at + "." + key, "is not a list of one to 10000 whole numbers");
+  if (!valid) AddError(errors, LineOf(*node), at + "." + key, "is not a list of one to 10000 whole numbers");
   return numbers;
 }
 
-// Names go into paths and headers: letters, digits and dashes.
-void CheckName(const std::string& name, int line, const std::string& key, Faults* faults) {
-  bool plain = !name.empty() && name.size() <= 40 && std::all_of(name.begin(), name.end(), [](char c) {
+// Names are used in paths and headers: letters, digits and dashes.
+void CheckName(const std::string& name, int line, const std::string& key, Errors* errors) {
+  bool valid = !name.empty() && name.size() <= 40 && std::all_of(name.begin(), name.end(), [](char c) {
     return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-';
   });
-  if (!plain) Add(faults, line, key, "has to be small letters, digits and dashes, at most 40");
+  if (!valid)
+    AddError(errors, line, key, "has to be lower-case letters, digits and dashes, at most 40 characters");
 }
 
-// The tables of an array of tables, each with its place.
-template <typename Each>
-void ForEach(const toml::table& root, const char* key, Faults* faults, Each each) {
+// Visits the tables of an array of tables with their paths.
+template <typename Visit>
+void ForEachTable(const toml::table& root, const char* key, Errors* errors, Visit visit) {
   const toml::node* node = root.get(key);
   if (node == nullptr) return;
   const toml::array* items = node->as_array();
-  if (items == nullptr || items->size() > kMostEntries) {
-    return Add(faults, LineOf(*node), key,
-               "is not a list of at most " + std::to_string(kMostEntries) + " tables, [[" + key + "]]");
+  if (items == nullptr || items->size() > kMaxEntries) {
+    return AddError(errors, LineOf(*node), key,
+                    "is not a list of at most " + std::to_string(kMaxEntries) + " tables, [[" + key + "]]");
   }
   for (size_t i = 0; i < items->size(); ++i) {
     std::string at = std::string(key) + "[" + std::to_string(i) + "]";
     if (const toml::table* item = items->get(i)->as_table()) {
-      each(*item, at);
+      visit(*item, at);
     } else {
-      Add(faults, LineOf(*items->get(i)), at, "is not a table");
+      AddError(errors, LineOf(*items->get(i)), at, "is not a table");
     }
   }
 }
 
-void TakeExpectations(const toml::table& table, Expectations* expect, Faults* faults) {
+void ReadExpectations(const toml::table& table, Expectations* expect, Errors* errors) {
   for (const auto& [name, node] : table) {
     std::string_view key = name.str();
     std::string full = "expect." + std::string(key);
     if (key == "rules") {
       auto text = node.value<std::string>();
       if (!text || (*text != "kept" && *text != "any"))
-        Add(faults, LineOf(node), full, "has to be \"kept\" or \"any\"");
+        AddError(errors, LineOf(node), full, "has to be \"kept\" or \"any\"");
       else
         expect->rules_kept = *text == "kept";
       continue;
     }
-    std::optional<double>* figure = key == "g_at_least"          ? &expect->g_at_least
-                                    : key == "served_at_least"   ? &expect->served_at_least
-                                    : key == "recover_s_at_most" ? &expect->recover_s_at_most
-                                    : key == "told_at_most"      ? &expect->told_at_most
-                                                                 : nullptr;
-    if (figure == nullptr) {
-      Add(faults, LineOf(node), full, "is not known");
+    std::optional<double>* parameter = key == "g_at_least"          ? &expect->g_at_least
+                                       : key == "served_at_least"   ? &expect->served_at_least
+                                       : key == "recover_s_at_most" ? &expect->recover_s_at_most
+                                       : key == "told_at_most"      ? &expect->told_at_most
+                                                                    : nullptr;
+    if (parameter == nullptr) {
+      AddError(errors, LineOf(node), full, "is not known");
     } else if (auto value = node.value<double>(); value && std::isfinite(*value)) {
-      *figure = *value;
+      *parameter = *value;
     } else {
-      Add(faults, LineOf(node), full, "is not a number");
+      AddError(errors, LineOf(node), full, "is not a number");
     }
   }
 }
 
 }  // namespace
 
-const std::vector<Figure<Scenario>>& ScenarioFigures() {
+const std::vector<Parameter<Scenario>>& ScenarioParameters() {
   using S = Scenario;
-  static const std::vector<Figure<Scenario>> figures = {
+  static const std::vector<Parameter<Scenario>> parameters = {
       {"day.length_s", &S::length_s, 1, 7200, false, "clients arrive for so long"},
       {"day.settle_s", &S::settle_s, 0, 600, false, "and the day goes on for so long after"},
       {"fleet.gateways", &S::gateways, 1, 10000, true, "gateways of the tier"},
@@ -231,9 +237,9 @@
       {"network.cross_zone_ms", &S::cross_zone_ms, 0, 1000, false, "one way between zones"},
       {"network.client_ms", &S::client_ms, 0, 1000, false, "one way between a client and a gateway"},
       {"network.jitter", &S::jitter, 0, 3, false, "variation of a way, as a share of it"},
-      {"load.use", &S::use, 0, 10, false,
+      {"load.use", &S::load_use, 0, 10, false,
        "work asked for inside quotas, as a share of what the fleet can do"},
-      {"load.most_excess", &S::most_excess, 0, 100, false,
+      {"load.most_excess", &S::max_excess, 0, 100, false,
        "asked for beyond quotas over asked for inside, at most"},
       {"customers.calm_use", &S::calm_use, 0, 1, false, "of its rate, that an ordinary customer uses"},
       {"customers.full_share", &S::full_share, 0, 1, false, "of the customers, that use nearly all"},
@@ -249,30 +255,32 @@
       {"requests.units_top", &S::units_top, 1, 1000, true, "units of the largest request"},
       {"requests.guess_cv", &S::guess_cv, 0, 3, false, "variation of the guess round the true units"},
       {"clients.retries", &S::retries, 0, 20, true, "tries after the first"},
-      {"clients.try_share", &S::try_share, 0.01, 1, false,
+      {"clients.try_share", &S::try_timeout_share, 0.01, 1, false,
        "of a class's deadline, after which a try is given up"},
       {"clients.backoff_ms", &S::backoff_ms, 0, 60000, false, "wait before a retry"},
       {"clients.backoff_grows", &S::backoff_grows, 0, 1, false,
        "1: the wait doubles with each retry; between: chance"},
-      {"clients.heeds_share", &S::heeds_share, 0, 1, false, "of the clients, that heed Retry-After"},
-      {"clients.most_retry_after_ms", &S::most_retry_after_ms, 0, 600000, false,
-       "the longest that they heed"},
+      {"clients.heeds_share", &S::heeds_retry_after_share, 0, 1, false,
+       "of the clients, that heed Retry-After"},
+      {"clients.most_retry_after_ms", &S::max_retry_after_ms, 0, 600000, false, "the longest that they heed"},
       {"clients.impatient_share", &S::impatient_share, 0, 1, false,
        "of the tries, whose client leaves early"},
       {"clients.use_until_end_share", &S::use_until_end_share, 0, 1, false,
        "of the tries, that go to a gateway that was told to end while a connection to it stays open; one "
        "number, not drawn"},
       {"front.notice_s", &S::front_notice_s, 0, 60, false, "until the front sees that a gateway is down"},
-      {"discovery.notice_s", &S::list_notice_s, 0, 60, false,
+      {"discovery.notice_s", &S::discovery_notice_s, 0, 60, false,
        "until a gateway is told that a backend drains or is gone"},
-      {"discovery.start_notice_s", &S::start_notice_s, 0, 60, false, "and that one has started"},
-      {"discovery.agent_ms", &S::agent_ms, 0, 10000, false, "until a started gateway has its first list"},
-      {"counter.calls_per_s", &S::calls_per_s, 1, 1e7, false, "calls of all parts together"},
-      {"counter.parts", &S::parts, 1, 64, true, "parts, by the hash of a name"},
-      {"counter.call_ms", &S::call_ms, 0, 1000, false, "a call's time beside the line and the way"},
-      {"counter.line_timeouts", &S::line_timeouts, 0, 100, false, "longest line of a part, in time-outs"},
-      {"counter.timeout_ms", &S::timeout_ms, 1, 60000, false, "a gateway's limit on a call"},
-      {"counter.lost_share", &S::lost_share, 0, 1, false, "of the answers, that never come"},
+      {"discovery.start_notice_s", &S::discovery_start_notice_s, 0, 60, false, "and that one has started"},
+      {"discovery.agent_ms", &S::discovery_agent_ms, 0, 10000, false,
+       "until a started gateway has its first list"},
+      {"counter.calls_per_s", &S::counter_calls_per_s, 1, 1e7, false, "calls of all parts together"},
+      {"counter.parts", &S::counter_parts, 1, 64, true, "parts, by the hash of a name"},
+      {"counter.call_ms", &S::counter_call_ms, 0, 1000, false, "a call's time beside the line and the way"},
+      {"counter.line_timeouts", &S::counter_line_timeouts, 0, 100, false,
+       "longest line of a part, in time-outs"},
+      {"counter.timeout_ms", &S::counter_timeout_ms, 1, 60000, false, "a gateway's limit on a call"},
+      {"counter.lost_share", &S::counter_lost_share, 0, 1, false, "of the answers, that never come"},
       {"peers.loss", &S::peer_loss, 0, 1, false, "of the datagrams between gateways, that are lost all day"},
       {"peers.in_per_s", &S::peer_in_per_s, 1, 1e6, false,
        "datagrams that a gateway takes in a second; what comes faster is dropped, and a breach"},
@@ -283,7 +291,7 @@
       {"rules.answer_grace_ms", &S::answer_grace_ms, 0, 60000, false,
        "from a try's end to the latest final answer"},
       {"rules.try_limit", &S::try_limit, 1, 20, true, "attempts of a request"},
-      {"rules.ceiling_slack", &S::slack_share, 0, 10, false,
+      {"rules.ceiling_slack", &S::ceiling_slack_share, 0, 10, false,
        "of the ceiling's burst; the largest request at least"},
       {"prices.counter", &S::counter_price, 0, 1, false, "times calls over first tries"},
       {"prices.waste", &S::waste_price, 0, 1, false, "times work that served nobody over work asked for"},
@@ -292,20 +300,20 @@
        "times attempts between zones over first tries"},
       {"prices.handshake", &S::handshake_price, 0, 1, false,
        "times new connections to backends over first tries"},
-      {"prices.rude", &S::rude_price, 0, 1, false,
+      {"prices.rude", &S::misbehaving_peer_price, 0, 1, false,
        "times the share of rude peers left with neither an error nor a close"},
-      {"prices.hidden", &S::hidden_price, 0, 1, false,
+      {"prices.hidden", &S::held_request_price, 0, 1, false,
        "of its worth, for a request held over half of its time and never sent on"},
       {"goal.whole", &S::goal_whole, 0, 1, false, "weight of the whole day"},
       {"goal.window", &S::goal_window, 0, 1, false, "weight of the worst 10 s"},
       {"goal.plan", &S::goal_plan, 0, 1, false, "weight of the worst plan"},
   };
-  return figures;
+  return parameters;
 }
 
-const std::vector<Figure<ClassFigures>>& ClassKeys() {
-  using C = ClassFigures;
-  static const std::vector<Figure<C>> figures = {
+const std::vector<Parameter<ClassConfig>>& ClassParameters() {
+  using C = ClassConfig;
+  static const std::vector<Parameter<C>> parameters = {
       {"share", &C::share, 0, 1000, false, "of the requests, against the other classes"},
       {"work_ms", &C::work_ms, 0.01, 60000, false, "mean work on one core of speed 1"},
       {"work_cv", &C::work_cv, 0, 3, false, "variation of the work"},
@@ -313,14 +321,14 @@
       {"deadline_ms", &C::deadline_ms, 1, 600000, false, "a client's whole patience"},
       {"worth", &C::worth, 0, 1000, false, "of one unit"},
   };
-  return figures;
+  return parameters;
 }
 
-const std::vector<Figure<PlanFigures>>& PlanKeys() {
-  using P = PlanFigures;
-  static const std::vector<Figure<P>> figures = {
+const std::vector<Parameter<PlanConfig>>& PlanParameters() {
+  using P = PlanConfig;
+  static const std::vector<Parameter<P>> parameters = {
       {"share", &P::share, 0, 1000, false, "of the use inside quotas, against the other plans"},
-      {"units_per_s", &P::units_per_s, 0.01, kAny, false, "a customer's rate"},
+      {"units_per_s", &P::units_per_s, 0.01, kUnbounded, false, "a customer's rate"},
       {"burst_s", &P::burst_s, 0, 3600, false,
        "of the rate, that may be used at once; two of the largest requests at least"},
       {"price", &P::price, 0, 1000, false, "factor on the worth"},
@@ -330,19 +338,19 @@
        "attempts out at once, times what the rate keeps out; 0: no cap"},
       {"ceiling_times", &P::ceiling_times, 0, 100, false, "hard ceiling, times rate and burst; 0: none"},
   };
-  return figures;
+  return parameters;
 }
 
-const std::vector<Figure<EventFigures>>& EventKeys() {
-  using E = EventFigures;
-  static const std::vector<Figure<E>> figures = {
+const std::vector<Parameter<EventConfig>>& EventParameters() {
+  using E = EventConfig;
+  static const std::vector<Parameter<E>> parameters = {
       {"at_s", &E::at_s, 0, 7200, false, "when it begins"},
       {"for_s", &E::for_s, 0, 7200, false, "how long it lasts"},
       {"part", &E::part, 0, 1, false, "share of what it befalls"},
       {"size", &E::size, 0, 1e6, false, "how strong it is"},
       {"down_s", &E::down_s, 0, 600, false, "how long a process stays away"},
   };
-  return figures;
+  return parameters;
 }
 
 const std::vector<EventKind>& EventKinds() {
@@ -400,110 +408,120 @@
   return kinds;
 }
 
-bool IsLoad(std::string_view kind) {
+bool IsLoadEvent(std::string_view kind) {
   return kind == "burst" || kind == "shift" || kind == "hot" || kind == "retune" || kind == "scrape" ||
          kind == "rude";
 }
 
 namespace {
 
-// What an event says in words, and by number.
-void CheckEvent(const Scenario& s, const EventFigures& e, const std::string& at, Faults* faults) {
-  auto among = [&](const char* key, const std::string& value, std::initializer_list<const char*> allowed) {
+// Checks the text fields and indices of an event.
+void CheckEvent(const Scenario& scenario, const EventConfig& event, const std::string& at, Errors* errors) {
+  auto check_one_of = [&](const char* key, const std::string& value,
+                          std::initializer_list<const char*> allowed) {
     std::string all;
     for (const char* one : allowed) {
       if (value == one) return;
       all.append(all.empty() ? "" : ", ").append(one);
     }
-    Add(faults, e.line, at + "." + key, "\"" + value + "\" is none of " + all);
+    AddError(errors, event.line, at + "." + key, "\"" + value + "\" is not one of " + all);
   };
-  bool path = e.kind.rfind("path-", 0) == 0;
-  if (path) {
-    among("to", e.to, {"gateways", "counter", "discovery", "backends"});
-    among("way", e.way, {"both", "out", "in"});
-    bool share = e.kind == "path-loss" || e.kind == "path-duplicate" || e.kind == "path-reorder";
-    if (share && e.size.hi > 1) Add(faults, e.line, at + ".size", "is a share: from 0 to 1");
+  bool is_path = event.kind.rfind("path-", 0) == 0;
+  if (is_path) {
+    check_one_of("to", event.to, {"gateways", "counter", "discovery", "backends"});
+    check_one_of("way", event.way, {"both", "out", "in"});
+    bool share = event.kind == "path-loss" || event.kind == "path-duplicate" || event.kind == "path-reorder";
+    if (share && event.size.hi > 1) AddError(errors, event.line, at + ".size", "is a share: from 0 to 1");
   }
-  if (e.kind == "starve" && e.size.hi > 1) Add(faults, e.line, at + ".size", "is a share: from 0 to 1");
-  if (e.kind == "power-loss") among("order", e.order, {"drawn", "up", "down"});
-  if (e.kind == "spoil")
-    among("what", e.what, {"cut", "flip", "older", "other", "gone", "unreadable", "read-only", "no-room"});
-  bool backends = e.kind == "replace" || e.kind == "crash" || e.kind == "fail" || e.kind == "slow" ||
-                  e.kind == "silent" || e.kind == "offline";
+  if (event.kind == "starve" && event.size.hi > 1)
+    AddError(errors, event.line, at + ".size", "is a share: from 0 to 1");
+  if (event.kind == "power-loss") check_one_of("order", event.order, {"drawn", "up", "down"});
+  if (event.kind == "spoil")
+    check_one_of("what", event.what,
+                 {"cut", "flip", "older", "other", "gone", "unreadable", "read-only", "no-room"});
+  bool backends = event.kind == "replace" || event.kind == "crash" || event.kind == "fail" ||
+                  event.kind == "slow" || event.kind == "silent" || event.kind == "offline";
   auto numbers = [&](const char* key, const std::vector<int>& values, double most) {
     for (int value : values) {
       if (value < 0 || value >= most)
-        Add(faults, e.line, at + "." + key,
-            std::to_string(value) + " is no number of the fleet, from 0 to " + Plain(most - 1));
+        AddError(errors, event.line, at + "." + key,
+                 std::to_string(value) + " is out of range: from 0 to " + FormatNumber(most - 1));
     }
   };
-  bool zone = e.kind.rfind("zone-", 0) == 0;
-  numbers("targets", e.targets, zone ? s.zones.lo : backends ? s.backends.lo : s.gateways.lo);
-  numbers("others", e.others, path && e.to == "backends" ? s.backends.lo : s.gateways.lo);
-  if (e.kind == "claim")
-    numbers("size", {static_cast<int>(e.size.lo), static_cast<int>(e.size.hi)}, s.gateways.lo);
+  bool zone = event.kind.rfind("zone-", 0) == 0;
+  numbers("targets", event.targets,
+          zone       ? scenario.zones.lo
+          : backends ? scenario.backends.lo
+                     : scenario.gateways.lo);
+  numbers("others", event.others,
+          is_path && event.to == "backends" ? scenario.backends.lo : scenario.gateways.lo);
+  if (event.kind == "claim")
+    numbers("size", {static_cast<int>(event.size.lo), static_cast<int>(event.size.hi)}, scenario.gateways.lo);
 }
 
 }  // namespace
 
-void CheckWhole(const Scenario& s, Faults* faults) {
-  if (s.classes.empty()) Add(faults, 0, "class", "there is none: add a [[class]]");
-  if (s.plans.empty()) Add(faults, 0, "plan", "there is none: add a [[plan]]");
+void CheckConsistency(const Scenario& scenario, Errors* errors) {
+  if (scenario.classes.empty()) AddError(errors, 0, "class", "is missing: add a [[class]]");
+  if (scenario.plans.empty()) AddError(errors, 0, "plan", "is missing: add a [[plan]]");
   auto sum = [](const auto& items) {
     double total = 0;
     for (const auto& item : items) total += item.share.lo;
     return total;
   };
-  if (!s.classes.empty() && sum(s.classes) <= 0)
-    Add(faults, 0, "class.share", "the shares add up to nothing");
-  if (!s.plans.empty() && sum(s.plans) <= 0) Add(faults, 0, "plan.share", "the shares add up to nothing");
-  for (size_t i = 0; i < s.classes.size(); ++i) {
-    if (s.classes[i].aim_ms.hi > s.classes[i].deadline_ms.lo)
-      Add(faults, 0, "class[" + std::to_string(i) + "].aim_ms", "may lie past deadline_ms");
+  if (!scenario.classes.empty() && sum(scenario.classes) <= 0)
+    AddError(errors, 0, "class.share", "the shares add up to nothing");
+  if (!scenario.plans.empty() && sum(scenario.plans) <= 0)
+    AddError(errors, 0, "plan.share", "the shares add up to nothing");
+  for (size_t i = 0; i < scenario.classes.size(); ++i) {
+    if (scenario.classes[i].aim_ms.hi > scenario.classes[i].deadline_ms.lo)
+      AddError(errors, 0, "class[" + std::to_string(i) + "].aim_ms", "may lie past deadline_ms");
   }
-  if (s.zones.hi > s.gateways.lo || s.zones.hi > s.backends.lo)
-    Add(faults, 0, "fleet.zones", "there may be more zones than gateways or backends");
-  if (s.full_share.hi + s.heavy_share.hi + s.spiky_share.hi > 1)
-    Add(faults, 0, "customers", "full_share, heavy_share and spiky_share may add up to more than 1");
-  for (size_t i = 0; i < s.events.size(); ++i) {
-    const EventFigures& e = s.events[i];
+  if (scenario.zones.hi > scenario.gateways.lo || scenario.zones.hi > scenario.backends.lo)
+    AddError(errors, 0, "fleet.zones", "there may be more zones than gateways or backends");
+  if (scenario.full_share.hi + scenario.heavy_share.hi + scenario.spiky_share.hi > 1)
+    AddError(errors, 0, "customers", "full_share, heavy_share and spiky_share may add up to more than 1");
+  for (size_t i = 0; i < scenario.events.size(); ++i) {
+    const EventConfig& event = scenario.events[i];
     std::string at = "event[" + std::to_string(i) + "]";
-    if (e.at_s.hi > s.length_s.lo)
-      Add(faults, e.line, at + ".at_s", "may lie past the day's end, " + Plain(s.length_s.lo) + " s");
+    if (event.at_s.hi > scenario.length_s.lo)
+      AddError(errors, event.line, at + ".at_s",
+               "may lie past the end of the run, " + FormatNumber(scenario.length_s.lo) + " s");
     bool known = std::any_of(EventKinds().begin(), EventKinds().end(),
-                             [&](const EventKind& k) { return e.kind == k.name; });
+                             [&](const EventKind& k) { return event.kind == k.name; });
     if (!known)
-      Add(faults, e.line, at + ".kind",
-          "\"" + e.kind + "\" is not known; `lemonchute-lab keys` lists the kinds");
+      AddError(errors, event.line, at + ".kind",
+               "\"" + event.kind + "\" is not known; `lemonchute-lab keys` lists the kinds");
     else
-      CheckEvent(s, e, at, faults);
+      CheckEvent(scenario, event, at, errors);
   }
 }
 
-ReadScenario ParseScenario(std::string_view text) {
-  ReadScenario read;
-  Faults* faults = &read.faults;
-  if (text.size() > kMostText) {
-    Add(faults, 0, "", "is longer than 1 MiB");
+ScenarioParseResult ParseScenario(std::string_view text) {
+  ScenarioParseResult read;
+  Errors* errors = &read.errors;
+  if (text.size() > kMaxTextBytes) {
+    AddError(errors, 0, "", "is longer than 1 MiB");
     return read;
   }
   toml::table root;
   try {
     root = toml::parse(text);
   } catch (const toml::parse_error& error) {
-    Add(faults, static_cast<int>(error.source().begin.line), "", std::string(error.description()));
+    AddError(errors, static_cast<int>(error.source().begin.line), "", std::string(error.description()));
     return read;
   }
-  Scenario* s = &read.scenario;
-  s->name = Text(root, "name", "", true, faults);
-  if (!s->name.empty()) CheckName(s->name, LineOf(*root.get("name")), "name", faults);
-  s->about = Text(root, "about", "", false, faults);
-  s->extensions = Text(root, "extensions", "", false, faults);
-  if (!s->extensions.empty() && !nlohmann::json::parse(s->extensions, nullptr, false).is_object())
-    Add(faults, LineOf(*root.get("extensions")), "extensions", "is not the text of a JSON object");
+  Scenario* scenario = &read.scenario;
+  scenario->name = ReadText(root, "name", "", true, errors);
+  if (!scenario->name.empty()) CheckName(scenario->name, LineOf(*root.get("name")), "name", errors);
+  scenario->about = ReadText(root, "about", "", false, errors);
+  scenario->extensions = ReadText(root, "extensions", "", false, errors);
+  if (!scenario->extensions.empty() &&
+      !nlohmann::json::parse(scenario->extensions, nullptr, false).is_object())
+    AddError(errors, LineOf(*root.get("extensions")), "extensions", "is not the text of a JSON object");
   std::set<std::string, std::less<>> sections;
-  for (const Figure<Scenario>& figure : ScenarioFigures())
-    sections.insert(std::string(figure.key).substr(0, std::string_view(figure.key).find('.')));
+  for (const Parameter<Scenario>& parameter : ScenarioParameters())
+    sections.insert(std::string(parameter.key).substr(0, std::string_view(parameter.key).find('.')));
   for (const auto& [name, node] : root) {
     std::string_view key = name.str();
     if (key == "name" || key == "about" || key == "extensions" || key == "class" || key == "plan" ||
@@ -511,75 +529,76 @@
       continue;
     const toml::table* table = node.as_table();
     if (key == "expect" && table != nullptr) {
-      TakeExpectations(*table, &s->expect, faults);
+      ReadExpectations(*table, &scenario->expect, errors);
     } else if (sections.count(key) != 0 && table != nullptr) {
       for (const auto& [inner, value] : *table) {
         std::string full = std::string(key) + "." + std::string(inner.str());
-        if (const auto* figure = Find(ScenarioFigures(), full))
-          TakeFigure(*figure, value, full, s, faults);
+        if (const auto* parameter = FindParameter(ScenarioParameters(), full))
+          ReadParameter(*parameter, value, full, scenario, errors);
         else
-          Add(faults, LineOf(value), full, Unknown(ScenarioFigures(), full));
+          AddError(errors, LineOf(value), full, UnknownKeyMessage(ScenarioParameters(), full));
       }
     } else {
-      Add(faults, LineOf(node), std::string(key),
-          sections.count(key) != 0 || key == "expect" ? "is not a table" : "is not known");
+      AddError(errors, LineOf(node), std::string(key),
+               sections.count(key) != 0 || key == "expect" ? "is not a table" : "is not known");
     }
   }
-  ForEach(root, "class", faults, [&](const toml::table& table, const std::string& at) {
-    ClassFigures c;
-    c.name = Text(table, "name", at, true, faults);
-    if (!c.name.empty()) CheckName(c.name, LineOf(table), at + ".name", faults);
-    if (table.contains("effect")) c.effect = Text(table, "effect", at, true, faults);
-    if (c.effect != "free") Add(faults, LineOf(table), at + ".effect", "only \"free\" is modelled so far");
-    TakeTable(ClassKeys(), table, at, {"name", "effect"}, &c, faults);
-    s->classes.push_back(c);
+  ForEachTable(root, "class", errors, [&](const toml::table& table, const std::string& at) {
+    ClassConfig class_config;
+    class_config.name = ReadText(table, "name", at, true, errors);
+    if (!class_config.name.empty()) CheckName(class_config.name, LineOf(table), at + ".name", errors);
+    if (table.contains("effect")) class_config.effect = ReadText(table, "effect", at, true, errors);
+    if (class_config.effect != "free")
+      AddError(errors, LineOf(table), at + ".effect", "only \"free\" is supported");
+    ReadTable(ClassParameters(), table, at, {"name", "effect"}, &class_config, errors);
+    scenario->classes.push_back(class_config);
   });
-  ForEach(root, "plan", faults, [&](const toml::table& table, const std::string& at) {
-    PlanFigures p;
-    p.name = Text(table, "name", at, true, faults);
-    if (!p.name.empty()) CheckName(p.name, LineOf(table), at + ".name", faults);
-    TakeTable(PlanKeys(), table, at, {"name"}, &p, faults);
-    s->plans.push_back(p);
+  ForEachTable(root, "plan", errors, [&](const toml::table& table, const std::string& at) {
+    PlanConfig plan;
+    plan.name = ReadText(table, "name", at, true, errors);
+    if (!plan.name.empty()) CheckName(plan.name, LineOf(table), at + ".name", errors);
+    ReadTable(PlanParameters(), table, at, {"name"}, &plan, errors);
+    scenario->plans.push_back(plan);
   });
-  ForEach(root, "event", faults, [&](const toml::table& table, const std::string& at) {
-    EventFigures e;
-    e.line = LineOf(table);
-    e.kind = Text(table, "kind", at, true, faults);
+  ForEachTable(root, "event", errors, [&](const toml::table& table, const std::string& at) {
+    EventConfig event;
+    event.line = LineOf(table);
+    event.kind = ReadText(table, "kind", at, true, errors);
     for (auto [key, value] :
-         {std::pair{"to", &e.to}, {"way", &e.way}, {"what", &e.what}, {"order", &e.order}}) {
-      if (table.contains(key)) *value = Text(table, key, at, true, faults);
+         {std::pair{"to", &event.to}, {"way", &event.way}, {"what", &event.what}, {"order", &event.order}}) {
+      if (table.contains(key)) *value = ReadText(table, key, at, true, errors);
     }
-    e.targets = Numbers(table, "targets", at, faults);
-    e.others = Numbers(table, "others", at, faults);
-    TakeTable(EventKeys(), table, at, {"kind", "to", "way", "what", "order", "targets", "others"}, &e,
-              faults);
-    s->events.push_back(e);
+    event.targets = ReadNumbers(table, "targets", at, errors);
+    event.others = ReadNumbers(table, "others", at, errors);
+    ReadTable(EventParameters(), table, at, {"kind", "to", "way", "what", "order", "targets", "others"},
+              &event, errors);
+    scenario->events.push_back(event);
   });
-  CheckWhole(*s, faults);
+  CheckConsistency(*scenario, errors);
   return read;
 }
 
-std::optional<ScenarioFault> SetFigure(Scenario* scenario, std::string_view assignment) {
+std::optional<ScenarioError> SetParameter(Scenario* scenario, std::string_view assignment) {
   size_t equals = assignment.find('=');
   std::string key(assignment.substr(0, equals));
-  const auto* figure = Find(ScenarioFigures(), key);
+  const auto* parameter = FindParameter(ScenarioParameters(), key);
   if (equals == std::string_view::npos)
-    return ScenarioFault{0, key, "has no '=': write KEY=NUMBER or KEY=[FROM,TO]"};
-  if (figure == nullptr) return ScenarioFault{0, key, Unknown(ScenarioFigures(), key)};
-  Faults faults;
+    return ScenarioError{0, key, "has no '=': write KEY=NUMBER or KEY=[FROM,TO]"};
+  if (parameter == nullptr) return ScenarioError{0, key, UnknownKeyMessage(ScenarioParameters(), key)};
+  Errors errors;
   try {
     toml::table table = toml::parse("v = " + std::string(assignment.substr(equals + 1)));
-    TakeFigure(*figure, *table.get("v"), key, scenario, &faults);
+    ReadParameter(*parameter, *table.get("v"), key, scenario, &errors);
   } catch (const toml::parse_error&) {
-    return ScenarioFault{0, key, "is neither a number nor a range, [from, to]"};
+    return ScenarioError{0, key, "is neither a number nor a range, [from, to]"};
   }
-  if (!faults.empty()) return faults.front();
+  if (!errors.empty()) return errors.front();
   return std::nullopt;
 }
 
 namespace {
 
-void Put(std::string_view key, Range range, toml::table* table) {
+void InsertRange(std::string_view key, Range range, toml::table* table) {
   if (range.lo == range.hi)
     table->insert(key, range.lo);
   else
@@ -587,44 +606,45 @@
 }
 
 template <typename Owner>
-void PutFigures(const std::vector<Figure<Owner>>& figures, const Owner& owner, toml::table* table) {
-  static const Owner usual{};
-  for (const Figure<Owner>& figure : figures) {
-    Range range = owner.*figure.at;
-    if (!(range == usual.*figure.at)) Put(figure.key, range, table);
+void InsertParameters(const std::vector<Parameter<Owner>>& parameters, const Owner& owner,
+                      toml::table* table) {
+  static const Owner defaults{};
+  for (const Parameter<Owner>& parameter : parameters) {
+    Range range = owner.*parameter.member;
+    if (!(range == defaults.*parameter.member)) InsertRange(parameter.key, range, table);
   }
 }
 
 }  // namespace
 
-std::string WriteScenario(const Scenario& s) {
+std::string WriteScenario(const Scenario& scenario) {
   toml::table root;
-  root.insert("name", s.name);
-  if (!s.about.empty()) root.insert("about", s.about);
-  if (!s.extensions.empty()) root.insert("extensions", s.extensions);
-  static const Scenario usual{};
-  for (const Figure<Scenario>& figure : ScenarioFigures()) {
-    Range range = s.*figure.at;
-    if (range == usual.*figure.at) continue;
-    std::string_view key = figure.key, section = key.substr(0, key.find('.'));
+  root.insert("name", scenario.name);
+  if (!scenario.about.empty()) root.insert("about", scenario.about);
+  if (!scenario.extensions.empty()) root.insert("extensions", scenario.extensions);
+  static const Scenario defaults{};
+  for (const Parameter<Scenario>& parameter : ScenarioParameters()) {
+    Range range = scenario.*parameter.member;
+    if (range == defaults.*parameter.member) continue;
+    std::string_view key = parameter.key, section = key.substr(0, key.find('.'));
     if (!root.contains(section)) root.insert(section, toml::table{});
-    Put(key.substr(key.find('.') + 1), range, root[section].as_table());
+    InsertRange(key.substr(key.find('.') + 1), range, root[section].as_table());
   }
   toml::array classes, plans, events;
-  for (const ClassFigures& c : s.classes) {
+  for (const ClassConfig& c : scenario.classes) {
     toml::table one{{"name", c.name}};
-    PutFigures(ClassKeys(), c, &one);
+    InsertParameters(ClassParameters(), c, &one);
     classes.push_back(std::move(one));
   }
-  for (const PlanFigures& p : s.plans) {
+  for (const PlanConfig& p : scenario.plans) {
     toml::table one{{"name", p.name}};
-    PutFigures(PlanKeys(), p, &one);
+    InsertParameters(PlanParameters(), p, &one);
     plans.push_back(std::move(one));
   }
-  static const EventFigures no_event{};
-  for (const EventFigures& e : s.events) {
+  static const EventConfig no_event{};
+  for (const EventConfig& e : scenario.events) {
     toml::table one{{"kind", e.kind}};
-    PutFigures(EventKeys(), e, &one);
+    InsertParameters(EventParameters(), e, &one);
     auto text = [&](const char* key, const std::string& value, const std::string& absent) {
       if (value != absent) one.insert(key, value);
     };
@@ -640,11 +660,11 @@
   root.insert("class", std::move(classes));
   root.insert("plan", std::move(plans));
   if (!events.empty()) root.insert("event", std::move(events));
-  toml::table expect{{"rules", s.expect.rules_kept ? "kept" : "any"}};
-  for (auto [key, value] : {std::pair{"g_at_least", s.expect.g_at_least},
-                            {"served_at_least", s.expect.served_at_least},
-                            {"recover_s_at_most", s.expect.recover_s_at_most},
-                            {"told_at_most", s.expect.told_at_most}}) {
+  toml::table expect{{"rules", scenario.expect.rules_kept ? "kept" : "any"}};
+  for (auto [key, value] : {std::pair{"g_at_least", scenario.expect.g_at_least},
+                            {"served_at_least", scenario.expect.served_at_least},
+                            {"recover_s_at_most", scenario.expect.recover_s_at_most},
+                            {"told_at_most", scenario.expect.told_at_most}}) {
     if (value) expect.insert(key, *value);
   }
   root.insert("expect", std::move(expect));
--- a/lab/play/real/fleet.h
+++ b/lab/play/real/fleet.h
@@ -8,7 +8,7 @@
 #include <memory>
 #include <vector>
 
-#include "judge/history.h"
+#include "checker/history.h"
 #include "play/real/admin_client.h"
 #include "play/real/discovery_agents.h"
 #include "play/real/process.h"
@@ -34,7 +34,7 @@
   void Squeeze(int gateway, double share);
   // It starts anew, and says that it is `number`.
   void Claim(int gateway, int number);
-  void Befall(int gateway, Spoil what);
+  void Befall(int gateway, StateFolderFault what);
   void Upgrade(int gateway);
   void Retune(double scale);  // a new configuration and SIGHUP, to all
 
--- a/lab/play/virtual/world.h
+++ b/lab/play/virtual/world.h
@@ -5,15 +5,15 @@
 #include "model/client_router.h"
 #include "model/counter.h"
 #include "model/discovery.h"
-#include "model/judge.h"
 #include "model/network.h"
 #include "model/paths.h"
+#include "model/run_checker.h"
 #include "play/virtual/agenda.h"
 
 namespace lemonchute::lab {
 
 struct VirtualWorld {
-  explicit VirtualWorld(const Day& d)
+  explicit VirtualWorld(const RunSpec& d)
       : day(d),
         agenda(d.gateways),
         network(d),
@@ -24,14 +24,14 @@
         judge(d, discovery) {}
   Micros Now() const { return agenda.now(); }
 
-  const Day& day;
+  const RunSpec& day;
   Agenda agenda;
   Network network;
   Paths paths;
   Discovery discovery;
   Counter counter;
   ClientRouter client_router;
-  Judge judge;
+  RunChecker judge;
 };
 
 }  // namespace lemonchute::lab
