--- a/lab/model/backend.cpp
+++ b/lab/model/backend.cpp
@@ -8,7 +8,7 @@
 namespace lemonchute::lab {
 namespace {
 
-// 1/100 of the shortest warm-up and 1/30 of the tipping window.
+// At the defaults about 1/150 of the shortest warm-up (7.4 s) and 1/30 of the tipping window (1.5 s).
 constexpr Micros kWarmUpStep = 50'000;
 // Marks ids of work that belongs to no job.
 constexpr uint64_t kHandshakeBit = uint64_t{1} << 63;
--- a/lab/model/backend.h
+++ b/lab/model/backend.h
@@ -61,6 +61,7 @@
   double Capacity(Micros now) const;
   /// Seconds until `work_s` that arrived now would be done if nothing else arrived.
   double ExpectedSeconds(Micros now, double work_s) const;
+  /// Counts running handshakes like jobs, unlike Offer, for which they take no slot.
   bool HasFreeSlot() const { return up_ && static_cast<int>(running_.size()) < backend_.slots; }
 
  private:
--- a/src/net/config.h
+++ b/src/net/config.h
@@ -47,7 +47,8 @@
   policy::SocketSettings socket_settings;  // an empty name: a class or plan that was removed
 };
 
-/// Parses an address in the form "10.0.0.4:5000"; throws policy::WireError naming `key` on anything else.
+/// Parses an address in the form "10.0.0.4:5000"; throws policy::ProtocolError naming `key` on
+/// anything else.
 tcp::endpoint ParseAddress(const std::string& key, const std::string& text);
 
 /// Converts nested settings into the path=value lines that ParseSettings reads.
@@ -65,8 +66,8 @@
 /// end. Values that belong to the process (seed, admin endpoint, state folder, inherited listener) are kept.
 MergedSettings MergeSettings(const Config& current, Config fresh, const policy::SettingsIndices& in_use);
 
-/// Parses a document that CheckConfig has found valid. Throws policy::WireError all the same on what is
-/// missing or unreadable.
+/// Parses a document that CheckConfig has found valid. Throws policy::ProtocolError all the same on what
+/// is missing or unreadable.
 Config ParseConfig(const nlohmann::json& document);
 /// Applies the environment variables: LB_OPS overrides `ops`, TMPDIR names the state folder, and
 /// LB_PASSED_SOCKET the descriptor of the inherited listener.
--- a/src/net/maintenance.h
+++ b/src/net/maintenance.h
@@ -13,7 +13,7 @@
 /// Backends under maintenance, by name.
 class MaintenanceList {
  public:
-  /// Reads the file. A missing or damaged file counts as empty.
+  /// Reads the file. If it is missing or damaged, the list starts empty.
   /// @param folder of the file; empty: the list is kept in memory only.
   explicit MaintenanceList(const std::string& folder);
 
@@ -21,7 +21,8 @@
   /// Adds a backend to the list or removes it.
   /// @return false if the change could not be stored; nothing has changed then.
   bool Set(const std::string& name, bool offline);
-  /// Rereads the file if the peer process has replaced it.
+  /// Rereads the file if the peer process has replaced it. If it is missing or damaged, the list stays as it
+  /// is.
   /// @return whether the list was read anew.
   bool Refresh();
 
--- a/src/policy/backend/slow_start.cpp
+++ b/src/policy/backend/slow_start.cpp
@@ -8,7 +8,8 @@
 
 // Time constant of the warm backends' load.
 constexpr double kWarmLoadTimeConstantS = 2;
-// Share of a warm backend's load that a cold one's budget is a fraction of.
+// Factor on the measured load of a warm backend. The budget of a cold one is its fraction of capacity times
+// the result, or times the load for one core if that is higher.
 constexpr double kWarmLoadShare = 0.8;
 // Share of the load at which a cold backend collapses that all gateways together may send.
 constexpr double kOverloadShare = 0.4;
--- a/src/policy/load_shedder.cpp
+++ b/src/policy/load_shedder.cpp
@@ -19,13 +19,14 @@
 // Bounds of one response's relative deviation from the queue threshold.
 constexpr double kMinDeviation = -1.0;
 constexpr double kMaxDeviation = 2.0;
-// Recovery of the ratio without responses.
+// Growth of the ratio per second since the previous adjustment, of which at most kMaxStepTimeS counts. Each
+// adjustment adds it to the step that follows from the deviation.
 constexpr double kRecoveryPerS = 0.05;
 // Least share that is admitted, so that responses keep reporting the state of the backends.
 constexpr double kMinAdmissionRatio = 0.05;
 
-// The request's value for its work over the highest of all classes: 0 to 1. Nothing is left for a client's
-// retry that can no longer be in time.
+// The request's value for its work over the highest of all classes: 0 to 1. A client's
+// retry that arrives after the class's latency objective has passed is worth only late_value_share of that.
 double ValueShare(const Request& request, const Settings& settings, const ServiceTimeEstimates& estimates) {
   double max_value_per_s = 0;
   for (size_t i = 0; i < settings.classes.size(); ++i) {
--- a/src/policy/quota/quota_manager.cpp
+++ b/src/policy/quota/quota_manager.cpp
@@ -216,11 +216,12 @@
   return confidence / (1 + std::exp(-kLogisticScale * deviations)) + (1 - confidence) * prior_chance;
 }
 
-// A client of a customer whose bucket is known to lack tokens is told to wait for the longest time that
-// clients honour. If the bucket may have tokens (a cap is reached, the ceiling's part is used up, the counter
-// has not been read), the client's next request may well be admitted, here or at another gateway, and one
-// that waits for longer than its latency objective is lost: the client is told to return in about the time of
-// a response, with jitter, so that clients rejected together don't return together.
+// A client of a customer whose plan has no rate, or whose bucket is known to lack tokens, is told to wait for
+// the longest time that clients honour. If the plan has a rate and the bucket may have tokens (its
+// concurrency cap is reached, the ceiling's part is used up, the counter has not been read), the client's
+// next request may well be admitted, here or at another gateway, and one that waits for longer than its
+// latency objective is lost: the client is told to return in about the time of a response, with jitter, so
+// that clients rejected together don't return together.
 double QuotaManager::RetryAfterS(const CustomerQuota& customer, const Request& request,
                                  double mean_service_time_s, RandomSource* random) const {
   bool known = customer.bucket.synchronized || EntryPoints(customer) < 2;
--- a/tests/budget_measure.cpp
+++ b/tests/budget_measure.cpp
@@ -1,5 +1,6 @@
 // Measures the cost of budgets and their recovery times in virtual time over many seeds.
-//   lemonchute_budget_measure [SEEDS]      20 seeds, at 10, 30, 100 and 300 members
+//   lemonchute_budget_measure [SEEDS]      10 seeds by default
+// One level at 10, 30, 100 and 300 members; two levels at these, and with at most 3 seeds at 1000 and 3000.
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
--- a/tests/budget_test.cpp
+++ b/tests/budget_test.cpp
@@ -17,7 +17,8 @@
   }
 }
 
-// Kills, restarts, stops, cuts and planned ends; then quiet, in which all but those killed last are there.
+// Kills, starts, pauses and resumes processes, partitions the network and lets members leave, at random. At
+// the end the partitions are healed; processes that are dead, paused or leaving stay so.
 template <typename Simulation>
 void InjectFaults(Simulation* simulation, uint64_t seed, int events, Micros max_wait) {
   std::mt19937_64 random(seed * 7919);
@@ -75,7 +76,7 @@
     InjectFaults(&simulation, seed, 30, 4 * kSecond);
     for (uint16_t n = 0; n < count; ++n) {
       BudgetSimulation::Process& process = simulation.processes[n];
-      // A majority of the voters runs; some of the others stay dead.
+      // All five voters are started anew; the dead among the others are started at even seeds only.
       if (n < 5 || process.core == nullptr) {
         if (n < 5 || seed % 2 == 0) simulation.Start(n);
       } else if (process.paused) {
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -570,7 +570,8 @@
   EXPECT_EQ(site.gateway->WaitForExit(), 0);
 }
 
-// Two processes of an upgrade: a put on trial outlives the old one, and is taken back in time by the new one.
+// During an upgrade, each process adopts the revisions that the other one applies. A revision put on trial at
+// the new process outlives its kill, and the old process rolls it back when the trial ends unconfirmed.
 TEST(Upgrade, BothProcessesConvergeOnTheSameRevision) {
   UpgradeFixture upgrade;
   auto old = upgrade.Start();
--- a/tests/system_fault_test.cpp
+++ b/tests/system_fault_test.cpp
@@ -1,5 +1,5 @@
-// Tests for gateways whose system calls fail in documented ways, whose wall clock is stepped, or that are
-// held up for a moment.
+// Tests for gateways whose system calls fail in documented ways or whose wall clock is stepped, and for the
+// checks before an attempt is sent.
 #include <chrono>
 #include <memory>
 
